--- a/packages/scheduling/src/cost/callCost.ts
+++ b/packages/scheduling/src/cost/callCost.ts
@@ -1,11 +1,11 @@
-/** What one generated token costs, in prompt tokens. */
+/** Cost of one generated token, in prompt tokens. */
 const GENERATED_TOKEN_WEIGHT = 8;
 
 /**
- * Cost of a call in prompt tokens, the unit of fair shares and attained service.
+ * Computes the cost of a call in prompt tokens, the unit of fair shares and attained service.
  *
- * @param computedTokens prompt tokens that are computed, without those that are cached
- * @param generatedTokens tokens of the answer
+ * @param computedTokens number of prompt tokens that are computed, excluding those that are cached
+ * @param generatedTokens number of tokens of the response
  * @example
  * callCost(1_000, 50); // 1400
  */
--- a/packages/scheduling/src/index.ts
+++ b/packages/scheduling/src/index.ts
@@ -26,8 +26,8 @@
 } from './replicas/replicaChooser.js';
 export type { CostReplicaChooserOptions } from './replicas/costReplicaChooser.js';
 export { CostReplicaChooser } from './replicas/costReplicaChooser.js';
-export type { ReplicaRun } from './replicas/prefixRecord.js';
-export { PrefixRecord } from './replicas/prefixRecord.js';
+export type { ReplicaIncarnation } from './replicas/prefixIndex.js';
+export { PrefixIndex } from './replicas/prefixIndex.js';
 export { ReplicaLoad } from './replicas/replicaLoad.js';
 export type { ConcurrencyWindowOptions } from './windows/concurrencyWindow.js';
 export { ConcurrencyWindow } from './windows/concurrencyWindow.js';
--- a/packages/scheduling/src/priority/enginePriority.ts
+++ b/packages/scheduling/src/priority/enginePriority.ts
@@ -1,30 +1,32 @@
-/** What the priority of a call at an engine depends on. Times are monotonic milliseconds. */
+/** Input of {@link enginePriority}. Times are monotonic milliseconds. */
 export interface EnginePriorityInput {
-  /** Tokens that the program was served before. */
+  /** Number of tokens that the program has been served so far. */
   readonly attainedTokens: number;
-  /** When the call entered the instance. */
+  /** Time at which the call entered the instance. */
   readonly enqueuedAt: number;
   readonly deadline: number | undefined;
-  /** Whether the workspace has had less than its share of late. */
+  /** Whether the workspace has recently been served less than its share. */
   readonly isBelowShare: boolean;
   readonly now: number;
 }
 
-/** Attained tokens of the highest class of priority. */
-const FIRST_CLASS_TOKENS = 4_096;
-/** The lowest class of priority. */
-const LAST_CLASS = 8;
-/** Waiting that lifts a call by one class, in milliseconds. */
-const MILLISECONDS_PER_CLASS = 2_000;
-/** Time before its deadline at which a call gets the highest class, in milliseconds. */
+/** Maximum attained tokens of the first service class, which has the highest priority. */
+const FIRST_CLASS_MAXIMUM_TOKENS = 4_096;
+/** Number of the service class with the lowest priority. */
+const LOWEST_CLASS = 8;
+/** Wait that raises a call by one class, in milliseconds. */
+const WAIT_MILLISECONDS_PER_CLASS = 2_000;
+/** Time before its deadline at which a call gets the highest priority, in milliseconds. */
 const DEADLINE_SLACK_MILLISECONDS = 2_000;
 
 /**
- * Number that tells an engine which calls to run first; lower runs first. Classes of attained
- * service double in width, workspaces below their share come before all classes, and waiting lifts a call, so long programs are not starved. Since an
- * engine sees calls of many instances, the number depends on durations alone and on no clock.
+ * Computes the priority of a call at an engine; lower numbers run first. Each class of attained
+ * service is twice as wide as the one before. Workspaces below their share and calls close to their
+ * deadline come before all classes, and waiting raises the class of a call, so long programs do not
+ * starve. Since an engine gets calls from many instances, the number depends on durations only and
+ * not on a clock.
  *
- * @returns a whole number from 0 to 9
+ * @returns an integer from 0 to 9
  * @example
  * enginePriority({
  *   attainedTokens: 9_000,
@@ -42,7 +44,9 @@
   if (deadline !== undefined && deadline - now <= DEADLINE_SLACK_MILLISECONDS) {
     return 0;
   }
-  const serviceClass = Math.ceil(Math.log2(Math.max(1, attainedTokens / FIRST_CLASS_TOKENS)));
-  const lift = Math.floor(Math.max(0, now - enqueuedAt) / MILLISECONDS_PER_CLASS);
-  return 1 + Math.max(0, Math.min(LAST_CLASS, serviceClass) - lift);
+  const serviceClass = Math.ceil(
+    Math.log2(Math.max(1, attainedTokens / FIRST_CLASS_MAXIMUM_TOKENS)),
+  );
+  const classesGained = Math.floor(Math.max(0, now - enqueuedAt) / WAIT_MILLISECONDS_PER_CLASS);
+  return 1 + Math.max(0, Math.min(LOWEST_CLASS, serviceClass) - classesGained);
 }
--- a/packages/scheduling/src/queue/fairWorkQueue.ts
+++ b/packages/scheduling/src/queue/fairWorkQueue.ts
@@ -8,34 +8,44 @@
 import { LazyHeap } from './lazyHeap.js';
 import { AttainedServiceOrder } from './programOrder.js';
 
-/** Limits and weights of a {@link FairWorkQueue}. */
+/** Options of a {@link FairWorkQueue}: limits, weights and order. */
 export interface FairWorkQueueOptions {
-  /** Most items that wait in all. */
+  /** Maximum number of waiting items. */
   readonly maxItems: number;
-  /** Most items that wait for one workspace. */
+  /** Maximum number of waiting items of one workspace. */
   readonly maxItemsPerWorkspace: number;
-  /** Share of a workspace when workspaces compete; above 0. */
+  /** Returns the relative share of a workspace when workspaces compete; above 0. */
   readonly weightOf: (workspace: WorkspaceName) => number;
   /** Order within a workspace; least attained service by default. */
   readonly order?: ProgramOrder;
   /**
-   * How far the use of a workspace of weight 1 may run ahead of the others before it is forgotten,
-   * in tokens. It bounds how long spare capacity that was used elsewhere counts against a workspace.
+   * Maximum lead of a workspace of weight 1 over the virtual time, in tokens; use beyond it is not
+   * counted. It bounds how long the use of spare capacity at other instances counts against a
+   * workspace.
    */
   readonly maxLeadTokens?: number;
 }
 
-const DEFAULT_LEAD_TOKENS = 500_000;
-/** Workspaces that one pop looks at, at most. */
-const WORKSPACES_PER_POP = 32;
-/** Items of one workspace that one pop looks at, at most. */
-const ITEMS_PER_WORKSPACE = 4;
-/** Popped items whose true cost is awaited, at most. */
-const MAX_UNSETTLED = 100_000;
-/** Workspaces that may be added between two sweeps of those without work, beside as many as were kept. */
+const DEFAULT_MAXIMUM_LEAD_TOKENS = 500_000;
+/** Maximum number of workspaces that one pop checks for an item that can run. */
+const MAXIMUM_WORKSPACES_PER_POP = 32;
+/** Maximum number of items that one pop checks in each workspace. */
+const MAXIMUM_ITEMS_CHECKED_PER_WORKSPACE = 4;
+/**
+ * Maximum number of popped items whose actual cost is not known yet; the oldest are dropped and
+ * stay charged with their estimate.
+ */
+const MAXIMUM_UNSETTLED_ITEMS = 100_000;
+/**
+ * Number of workspaces that may be added between two sweeps, in addition to as many as the last
+ * sweep kept.
+ */
 const SWEEP_ALLOWANCE = 16;
-/** Workspaces without work whose use is remembered, at most. */
-const MAX_IDLE_WORKSPACES = 16_384;
+/**
+ * Number of workspaces above which a sweep drops all that are idle, even those with use to be
+ * counted against them.
+ */
+const MAXIMUM_IDLE_WORKSPACES = 16_384;
 
 interface WaitingEntry<Item extends QueueItem> extends HeapEntry {
   readonly item: Item;
@@ -49,20 +59,24 @@
 interface Flow<Item extends QueueItem> {
   readonly workspace: WorkspaceName;
   readonly waiting: LazyHeap<WaitingEntry<Item>>;
-  /** Virtual time at which the service given so far ends. */
+  /**
+   * Finish tag of start-time fair queueing: the virtual time at which the service charged so far
+   * ends.
+   */
   finishTag: number;
-  /** Place among the workspaces that have work waiting. */
-  place: FlowEntry<Item> | undefined;
+  /** Entry in the heap of active flows; `undefined` while no work waits. */
+  heapEntry: FlowEntry<Item> | undefined;
 }
 
-interface Unsettled {
+interface UnsettledItem {
   readonly workspace: WorkspaceName;
   readonly estimatedTokens: number;
 }
 
 /**
- * Start-time fair queueing between workspaces by tokens and weight; within a workspace a
- * {@link ProgramOrder}. Every operation costs logarithmic time in items and workspaces.
+ * Queue with start-time fair queueing between workspaces, by tokens and weight, and a
+ * {@link ProgramOrder} within each workspace. Every operation takes logarithmic time in the number
+ * of items and workspaces.
  *
  * @example
  * const queue = new FairWorkQueue({ maxItems: 10_000, maxItemsPerWorkspace: 2_000, weightOf });
@@ -71,9 +85,9 @@
  */
 export class FairWorkQueue<Item extends QueueItem> implements WorkQueue<Item> {
   private readonly flows = new Map<WorkspaceName, Flow<Item>>();
-  private readonly places = new LazyHeap<FlowEntry<Item>>();
+  private readonly activeFlows = new LazyHeap<FlowEntry<Item>>();
   private readonly entries = new Map<WorkId, WaitingEntry<Item>>();
-  private readonly unsettled = new Map<WorkId, Unsettled>();
+  private readonly unsettled = new Map<WorkId, UnsettledItem>();
   private readonly order: ProgramOrder;
   private readonly maxLeadTokens: number;
   private virtualTime = 0;
@@ -82,14 +96,14 @@
 
   public constructor(private readonly options: FairWorkQueueOptions) {
     this.order = options.order ?? new AttainedServiceOrder();
-    this.maxLeadTokens = options.maxLeadTokens ?? DEFAULT_LEAD_TOKENS;
+    this.maxLeadTokens = options.maxLeadTokens ?? DEFAULT_MAXIMUM_LEAD_TOKENS;
   }
 
   public get size(): number {
     return this.entries.size;
   }
 
-  /** Workspaces that the queue keeps a record of. */
+  /** Number of workspaces for which the queue keeps state. */
   public get workspaceCount(): number {
     return this.flows.size;
   }
@@ -101,7 +115,7 @@
     if (this.entries.size >= this.options.maxItems) {
       return 'queue-full';
     }
-    const flow = this.flowOf(item.workspace);
+    const flow = this.getOrCreateFlow(item.workspace);
     if (flow.waiting.size >= this.options.maxItemsPerWorkspace) {
       return 'workspace-full';
     }
@@ -109,30 +123,30 @@
     const entry = { flow, isStale: false, item, key, order: this.nextOrder++ };
     this.entries.set(item.id, entry);
     flow.waiting.push(entry);
-    if (flow.place === undefined) {
+    if (flow.heapEntry === undefined) {
       flow.finishTag = Math.max(flow.finishTag, this.virtualTime);
-      this.placeFlow(flow);
+      this.insertActiveFlow(flow);
     }
-    this.sweepSometimes();
+    this.sweepIfDue();
     return 'accepted';
   }
 
   public pop(_now: number, canRun: RunnablePredicate<Item>): Item | undefined {
     const skipped: FlowEntry<Item>[] = [];
     let found: WaitingEntry<Item> | undefined;
-    while (found === undefined && skipped.length < WORKSPACES_PER_POP) {
-      const place = this.places.pop();
-      if (place === undefined) {
+    while (found === undefined && skipped.length < MAXIMUM_WORKSPACES_PER_POP) {
+      const heapEntry = this.activeFlows.pop();
+      if (heapEntry === undefined) {
         break;
       }
-      const standing = place.key <= this.virtualTime ? 'below-share' : 'at-share';
-      found = takeRunnable(place.flow, item => canRun(item, standing));
+      const standing = heapEntry.key <= this.virtualTime ? 'below-share' : 'at-share';
+      found = popRunnable(heapEntry.flow, item => canRun(item, standing));
       if (found === undefined) {
-        skipped.push(place);
+        skipped.push(heapEntry);
       }
     }
-    for (const place of skipped) {
-      this.places.push(place);
+    for (const heapEntry of skipped) {
+      this.activeFlows.push(heapEntry);
     }
     if (found === undefined) {
       return undefined;
@@ -151,7 +165,7 @@
     const { flow } = entry;
     flow.waiting.discard(entry);
     if (flow.waiting.size === 0) {
-      this.unplaceFlow(flow);
+      this.removeActiveFlow(flow);
     }
     return entry.item;
   }
@@ -163,65 +177,68 @@
     }
     this.unsettled.delete(id);
     this.addUse(unsettled.workspace, usedTokens - unsettled.estimatedTokens);
-    this.sweepSometimes();
+    this.sweepIfDue();
   }
 
   public observeRemoteUse(workspace: WorkspaceName, tokens: number): void {
     this.addUse(workspace, Math.max(0, tokens));
-    this.sweepSometimes();
+    this.sweepIfDue();
   }
 
   private charge({ flow, item }: WaitingEntry<Item>): void {
     this.virtualTime = Math.max(this.virtualTime, flow.finishTag);
-    flow.place = undefined;
-    this.advanceTag(flow, item.estimatedTokens);
+    flow.heapEntry = undefined;
+    this.advanceFinishTag(flow, item.estimatedTokens);
     if (flow.waiting.size > 0) {
-      this.placeFlow(flow);
+      this.insertActiveFlow(flow);
     }
-    this.rememberUnsettled(item);
+    this.addUnsettled(item);
   }
 
   private addUse(workspace: WorkspaceName, tokens: number): void {
-    const flow = this.flowOf(workspace);
-    this.advanceTag(flow, tokens);
-    if (flow.place !== undefined) {
-      this.unplaceFlow(flow);
-      this.placeFlow(flow);
+    const flow = this.getOrCreateFlow(workspace);
+    this.advanceFinishTag(flow, tokens);
+    if (flow.heapEntry !== undefined) {
+      this.removeActiveFlow(flow);
+      this.insertActiveFlow(flow);
     }
   }
 
-  private advanceTag(flow: Flow<Item>, tokens: number): void {
-    const wanted = this.options.weightOf(flow.workspace);
-    const weight = wanted > 0 ? wanted : 1;
+  private advanceFinishTag(flow: Flow<Item>, tokens: number): void {
+    const configuredWeight = this.options.weightOf(flow.workspace);
+    const weight = configuredWeight > 0 ? configuredWeight : 1;
     if (tokens < 0) {
       flow.finishTag += tokens / weight;
       return;
     }
-    const limit = this.virtualTime + this.maxLeadTokens / weight;
-    const base = Math.max(flow.finishTag, this.virtualTime);
-    flow.finishTag = Math.min(base + tokens / weight, Math.max(flow.finishTag, limit));
+    const maximumFinishTag = this.virtualTime + this.maxLeadTokens / weight;
+    const startTag = Math.max(flow.finishTag, this.virtualTime);
+    flow.finishTag = Math.min(
+      startTag + tokens / weight,
+      Math.max(flow.finishTag, maximumFinishTag),
+    );
   }
 
-  private placeFlow(flow: Flow<Item>): void {
-    flow.place = { flow, isStale: false, key: flow.finishTag, order: this.nextOrder++ };
-    this.places.push(flow.place);
+  private insertActiveFlow(flow: Flow<Item>): void {
+    flow.heapEntry = { flow, isStale: false, key: flow.finishTag, order: this.nextOrder++ };
+    this.activeFlows.push(flow.heapEntry);
   }
 
-  private unplaceFlow(flow: Flow<Item>): void {
-    if (flow.place !== undefined) {
-      this.places.discard(flow.place);
-      flow.place = undefined;
+  private removeActiveFlow(flow: Flow<Item>): void {
+    if (flow.heapEntry !== undefined) {
+      this.activeFlows.discard(flow.heapEntry);
+      flow.heapEntry = undefined;
     }
   }
 
-  private flowOf(workspace: WorkspaceName): Flow<Item> {
+  private getOrCreateFlow(workspace: WorkspaceName): Flow<Item> {
     const known = this.flows.get(workspace);
     if (known !== undefined) {
       return known;
     }
     const flow: Flow<Item> = {
       finishTag: this.virtualTime,
-      place: undefined,
+      heapEntry: undefined,
       waiting: new LazyHeap(),
       workspace,
     };
@@ -229,34 +246,37 @@
     return flow;
   }
 
-  private rememberUnsettled(item: Item): void {
+  private addUnsettled(item: Item): void {
     const { estimatedTokens, workspace } = item;
     this.unsettled.set(item.id, { estimatedTokens, workspace });
-    trimOldest(this.unsettled, MAX_UNSETTLED);
+    trimOldest(this.unsettled, MAXIMUM_UNSETTLED_ITEMS);
   }
 
-  /** Drops workspaces that have nothing waiting and no use to be counted against them. */
-  private sweepSometimes(): void {
+  /**
+   * Drops workspaces that have no waiting items and no use to be counted against them, once enough
+   * were added since the last sweep.
+   */
+  private sweepIfDue(): void {
     if (this.flows.size <= 2 * this.flowsAtLastSweep + SWEEP_ALLOWANCE) {
       return;
     }
-    const isCrowded = this.flows.size > MAX_IDLE_WORKSPACES;
+    const hasTooManyFlows = this.flows.size > MAXIMUM_IDLE_WORKSPACES;
     for (const [workspace, flow] of this.flows) {
-      if (flow.place === undefined && (isCrowded || flow.finishTag <= this.virtualTime)) {
+      if (flow.heapEntry === undefined && (hasTooManyFlows || flow.finishTag <= this.virtualTime)) {
         this.flows.delete(workspace);
       }
     }
-    this.flowsAtLastSweep = Math.min(this.flows.size, MAX_IDLE_WORKSPACES / 2);
+    this.flowsAtLastSweep = Math.min(this.flows.size, MAXIMUM_IDLE_WORKSPACES / 2);
   }
 }
 
-function takeRunnable<Item extends QueueItem>(
+function popRunnable<Item extends QueueItem>(
   flow: Flow<Item>,
   canRun: (item: Item) => boolean,
 ): WaitingEntry<Item> | undefined {
   const skipped: WaitingEntry<Item>[] = [];
   let found: WaitingEntry<Item> | undefined;
-  while (found === undefined && skipped.length < ITEMS_PER_WORKSPACE) {
+  while (found === undefined && skipped.length < MAXIMUM_ITEMS_CHECKED_PER_WORKSPACE) {
     const entry = flow.waiting.pop();
     if (entry === undefined) {
       break;
--- a/packages/scheduling/src/queue/lazyHeap.ts
+++ b/packages/scheduling/src/queue/lazyHeap.ts
@@ -6,11 +6,11 @@
   readonly key: number;
   /** Breaks ties between equal keys. */
   readonly order: number;
-  /** Set when the element no longer counts; the heap drops it when it comes to the top. */
+  /** Whether the element has been discarded; the heap drops it when it reaches the top. */
   isStale: boolean;
 }
 
-/** Stale elements that are kept at most beside as many live ones. */
+/** Number by which stale elements may exceed the live ones before the heap is rebuilt. */
 const STALE_ALLOWANCE = 64;
 
 function compareEntries(left: HeapEntry, right: HeapEntry): number {
@@ -18,8 +18,9 @@
 }
 
 /**
- * A binary heap whose elements are removed by marking them: every operation costs logarithmic time,
- * amortised, and stale elements never outnumber the live ones by more than a constant.
+ * A binary heap with lazy deletion: removed elements are marked as stale and dropped later. Every
+ * operation takes amortised logarithmic time, and stale elements never outnumber the live ones by
+ * more than a constant.
  *
  * @example
  * const heap = new LazyHeap<HeapEntry>();
@@ -40,19 +41,19 @@
     this.heap.push(entry);
   }
 
-  /** The live element with the lowest key. */
+  /** Returns the live element with the lowest key. */
   public peek(): Entry | undefined {
     this.dropStaleTop();
     return this.heap.peek();
   }
 
-  /** Takes the live element with the lowest key. */
+  /** Removes and returns the live element with the lowest key. */
   public pop(): Entry | undefined {
     this.dropStaleTop();
     return this.heap.pop();
   }
 
-  /** Marks an element that is in the heap as removed. */
+  /** Removes an element of the heap by marking it as stale. */
   public discard(entry: Entry): void {
     if (entry.isStale) {
       return;
--- a/packages/scheduling/src/queue/programOrder.ts
+++ b/packages/scheduling/src/queue/programOrder.ts
@@ -6,23 +6,29 @@
 
 /** Orders the work within one workspace; lower keys run first. */
 export interface ProgramOrder {
-  /** Key of an item that arrives at `now`, in milliseconds. It never changes while the item waits. */
+  /**
+   * Returns the key of an item that arrives at `now`, in milliseconds; it stays the same while the
+   * item waits.
+   */
   keyOf(item: QueueItem, now: number): number;
 }
 
-/** How attained service and deadlines shift the order. */
+/** Options of an {@link AttainedServiceOrder}. */
 export interface AttainedServiceOptions {
-  /** Milliseconds of age that outweigh one token of attained service. */
+  /** Age that offsets one token of attained service, in milliseconds. */
   readonly millisecondsPerToken: number;
-  /** Most that attained service can hold a program back, in milliseconds. */
+  /** Maximum delay of a program through attained service, in milliseconds. */
   readonly longestHoldMilliseconds: number;
-  /** How long before its deadline an item counts as due, in milliseconds. */
+  /** Time before its deadline at which an item counts as due, in milliseconds. */
   readonly deadlineSlackMilliseconds: number;
-  /** Programs whose start is remembered, at most; the one that started first is forgotten. */
+  /**
+   * Maximum number of programs whose start time is kept; the one that started first is dropped
+   * first.
+   */
   readonly maxPrograms: number;
 }
 
-/** Options for programs that take minutes. */
+/** Default options, for programs that run for minutes. */
 export const defaultAttainedServiceOptions: AttainedServiceOptions = {
   deadlineSlackMilliseconds: 2_000,
   longestHoldMilliseconds: 120_000,
@@ -31,47 +37,47 @@
 };
 
 /**
- * Least attained service with aging. Age counts from the first call of the program and not from the
- * call at hand: programs that are under way come to their end before ever more are begun, which
- * keeps their prefixes in the caches. Since age grows alike for every program, the key of an item is
- * fixed: the start of its program plus a delay that grows with the tokens that it has been served.
- * A deadline caps the key.
+ * Order by least attained service with aging. Age counts from the first call of the program and not
+ * from the current call: programs in progress finish before more are started, which keeps their
+ * prefixes cached. Since all programs age at the same rate, the key of an item is constant: the
+ * start time of its program plus a delay that grows with the tokens that the program has been
+ * served. A deadline caps the key.
  *
  * @example
  * const order = new AttainedServiceOrder();
  * order.keyOf(item, now);
  */
 export class AttainedServiceOrder implements ProgramOrder {
-  /** In order of the start: a map keeps the order of insertion. */
-  private readonly startedAt = new Map<ProgramId, number>();
+  /** Ordered by start time: a map keeps the order of insertion. */
+  private readonly startTimes = new Map<ProgramId, number>();
 
   public constructor(
     private readonly options: AttainedServiceOptions = defaultAttainedServiceOptions,
   ) {}
 
-  /** Programs whose start is remembered. */
-  public get rememberedPrograms(): number {
-    return this.startedAt.size;
+  /** Number of programs whose start time is kept. */
+  public get programCount(): number {
+    return this.startTimes.size;
   }
 
   public keyOf(item: QueueItem, now: number): number {
     const { deadlineSlackMilliseconds, longestHoldMilliseconds, millisecondsPerToken } =
       this.options;
-    const hold = Math.min(longestHoldMilliseconds, item.attainedTokens * millisecondsPerToken);
+    const delay = Math.min(longestHoldMilliseconds, item.attainedTokens * millisecondsPerToken);
     const dueAt = (item.deadline ?? Infinity) - deadlineSlackMilliseconds;
-    return Math.min(this.startOf(item.program, now) + hold, dueAt);
+    return Math.min(this.getOrRecordStart(item.program, now) + delay, dueAt);
   }
 
-  private startOf(program: ProgramId | undefined, now: number): number {
+  private getOrRecordStart(program: ProgramId | undefined, now: number): number {
     if (program === undefined) {
       return now;
     }
-    const startedAt = this.startedAt.get(program);
+    const startedAt = this.startTimes.get(program);
     if (startedAt !== undefined) {
       return startedAt;
     }
-    this.startedAt.set(program, now);
-    trimOldest(this.startedAt, this.options.maxPrograms);
+    this.startTimes.set(program, now);
+    trimOldest(this.startTimes, this.options.maxPrograms);
     return now;
   }
 }
--- a/packages/scheduling/src/queue/workQueue.ts
+++ b/packages/scheduling/src/queue/workQueue.ts
@@ -1,6 +1,6 @@
 import type { Brand, ProgramId, WorkspaceName } from '@zincring/core';
 
-/** Identifier of a piece of queued work, unique within its queue. */
+/** Identifier of an item of work, unique within its queue. */
 export type WorkId = Brand<string, 'WorkId'>;
 
 /** Work that waits for an upstream. Times are monotonic milliseconds. */
@@ -9,38 +9,41 @@
   readonly workspace: WorkspaceName;
   /** `undefined` for a request outside programs. */
   readonly program: ProgramId | undefined;
-  /** Tokens that the work is expected to compute; 1 or more. */
+  /** Number of tokens that the work is expected to compute; 1 or more. */
   readonly estimatedTokens: number;
-  /** Tokens that the program was served before. */
+  /** Number of tokens that the program has been served so far. */
   readonly attainedTokens: number;
-  /** Time by which the work has to start, if any. */
+  /** Time by which the work has to start; `undefined` for none. */
   readonly deadline: number | undefined;
 }
 
-/** What became of a push. */
+/** Result of a push. */
 export type PushOutcome = 'accepted' | 'duplicate' | 'queue-full' | 'workspace-full';
 
-/** Whether a workspace has had less than its share of late, compared with those that compete. */
+/**
+ * Whether a workspace has recently been served less than its share, compared with those that
+ * compete.
+ */
 export type ShareStanding = 'at-share' | 'below-share';
 
-/** Decides whether an item can start right now; it must not change the queue. */
+/** Returns whether an item can start now; it must not change the queue. */
 export type RunnablePredicate<Item extends QueueItem> = (
   item: Item,
   standing: ShareStanding,
 ) => boolean;
 
-/** Orders the work of one service within one instance. */
+/** Queue of the work of one service within one instance. */
 export interface WorkQueue<Item extends QueueItem> {
-  /** Number of items that wait. */
+  /** Number of waiting items. */
   readonly size: number;
   /** Adds an item. */
   push(item: Item, now: number): PushOutcome;
-  /** Takes the first item in order that can run; the search is bounded. */
+  /** Removes and returns the first item in order that can run; the search is bounded. */
   pop(now: number, canRun: RunnablePredicate<Item>): Item | undefined;
-  /** Removes an item that waits, when its caller has gone or its deadline has passed. */
+  /** Removes a waiting item whose caller has disconnected or whose deadline has passed. */
   remove(id: WorkId): Item | undefined;
-  /** Replaces the estimate of an item that was popped by what it used. */
+  /** Replaces the estimated cost of a popped item by its actual use. */
   settle(id: WorkId, usedTokens: number): void;
-  /** Counts tokens that other instances served to a workspace. */
+  /** Charges a workspace for tokens that other instances served to it. */
   observeRemoteUse(workspace: WorkspaceName, tokens: number): void;
 }
--- a/packages/scheduling/src/queue/workspaceUse.ts
+++ b/packages/scheduling/src/queue/workspaceUse.ts
@@ -2,24 +2,28 @@
 
 import { trimOldest } from '../util/trimOldest.js';
 
-/** Tokens served to one workspace by one instance since it started. */
+/** Total of the tokens that one instance has served to a workspace since it started. */
 export interface WorkspaceTotal {
   readonly workspace: WorkspaceName;
   readonly tokens: number;
 }
 
-/** Called for tokens that another instance has served. */
+/** Called with the tokens that another instance has newly served to a workspace. */
 export type RemoteUseListener = (workspace: WorkspaceName, tokens: number) => void;
 
-/** Incarnations whose totals are kept, at most; the one heard of least recently is forgotten. */
-const MAX_INCARNATIONS = 1_024;
+/**
+ * Maximum number of incarnations whose totals are kept; the one that reported least recently is
+ * dropped first.
+ */
+const MAXIMUM_INCARNATIONS = 1_024;
 
-/** Workspaces whose own totals are kept, at most. */
-const MAX_WORKSPACES = 16_384;
+/** Maximum number of workspaces for which this instance's own totals are kept. */
+const MAXIMUM_WORKSPACES = 16_384;
 
 /**
- * The fleet's use by workspace. Instances tell running totals, so that messages may be lost, come
- * twice or out of order; the difference to the highest total heard before is what counts.
+ * Token use of the fleet by workspace. Instances exchange running totals, of which only the
+ * increase over the highest total received before is counted. Messages may therefore be lost,
+ * duplicated or reordered.
  *
  * @example
  * const use = new WorkspaceUse((workspace, tokens) => scheduler.observeRemoteUse(workspace, tokens));
@@ -27,41 +31,43 @@
  * use.hear(otherIncarnation, totals);
  */
 export class WorkspaceUse {
-  /** In order of last use: a map keeps the order of insertion. */
-  private readonly own = new Map<WorkspaceName, number>();
-  private readonly heard = new Map<IncarnationId, Map<WorkspaceName, number>>();
+  /** Ordered from least to most recently served: a map keeps the order of insertion. */
+  private readonly ownTotals = new Map<WorkspaceName, number>();
+  private readonly remoteTotals = new Map<IncarnationId, Map<WorkspaceName, number>>();
 
   public constructor(private readonly listener: RemoteUseListener) {}
 
-  /** Counts tokens that this instance served. */
+  /** Adds tokens that this instance served. */
   public add(workspace: WorkspaceName, tokens: number): void {
-    const total = (this.own.get(workspace) ?? 0) + tokens;
-    this.own.delete(workspace);
-    this.own.set(workspace, total);
-    trimOldest(this.own, MAX_WORKSPACES);
+    const total = (this.ownTotals.get(workspace) ?? 0) + tokens;
+    this.ownTotals.delete(workspace);
+    this.ownTotals.set(workspace, total);
+    trimOldest(this.ownTotals, MAXIMUM_WORKSPACES);
   }
 
-  /** Totals to tell the other instances: the workspaces served last. */
+  /**
+   * Returns totals to send to the other instances: those of the workspaces served most recently.
+   */
   public tell(limit: number): readonly WorkspaceTotal[] {
-    const totals = [...this.own].slice(-limit);
+    const totals = [...this.ownTotals].slice(-limit);
     return totals.map(([workspace, tokens]) => ({ tokens, workspace }));
   }
 
   /**
-   * Takes in what another instance tells. The first total of a workspace is where counting starts,
-   * since it may be old.
+   * Applies totals of another instance. The first total received for a workspace is only a baseline
+   * and counts no tokens, since the use may be old.
    */
   public hear(incarnation: IncarnationId, totals: readonly WorkspaceTotal[]): void {
-    const before = this.heard.get(incarnation) ?? new Map<WorkspaceName, number>();
+    const knownTotals = this.remoteTotals.get(incarnation) ?? new Map<WorkspaceName, number>();
     for (const { tokens, workspace } of totals) {
-      const last = before.get(workspace) ?? tokens;
-      before.set(workspace, Math.max(last, tokens));
-      if (tokens > last) {
-        this.listener(workspace, tokens - last);
+      const lastTotal = knownTotals.get(workspace) ?? tokens;
+      knownTotals.set(workspace, Math.max(lastTotal, tokens));
+      if (tokens > lastTotal) {
+        this.listener(workspace, tokens - lastTotal);
       }
     }
-    this.heard.delete(incarnation);
-    this.heard.set(incarnation, before);
-    trimOldest(this.heard, MAX_INCARNATIONS);
+    this.remoteTotals.delete(incarnation);
+    this.remoteTotals.set(incarnation, knownTotals);
+    trimOldest(this.remoteTotals, MAXIMUM_INCARNATIONS);
   }
 }
--- a/packages/scheduling/src/replicas/costReplicaChooser.ts
+++ b/packages/scheduling/src/replicas/costReplicaChooser.ts
@@ -11,42 +11,54 @@
   ReplicaChooser,
   ReplicaDescription,
 } from './replicaChooser.js';
-import type { ReplicaRun } from './prefixRecord.js';
+import type { ReplicaIncarnation } from './prefixIndex.js';
 
-import { PrefixRecord } from './prefixRecord.js';
+import { PrefixIndex } from './prefixIndex.js';
 import { ReplicaLoad } from './replicaLoad.js';
 
-/** What the cost of a replica is made of. */
+/** Options of a {@link CostReplicaChooser}: the terms of its cost function and its bounds. */
 export interface CostReplicaChooserOptions {
   /** Availability zone of this instance. */
   readonly zone: AvailabilityZone;
-  /** Calls that a replica computes at a time; more have to wait there. */
+  /** Number of calls that a replica computes concurrently; further calls wait at the replica. */
   readonly slotsPerReplica: number;
   /** Time to compute one prompt token, in milliseconds. */
   readonly prefillMillisecondsPerToken: number;
-  /** Time by which one computed prompt token holds up each call of the batch, in milliseconds. */
+  /** Delay that one computed prompt token adds to each other call of the batch, in milliseconds. */
   readonly batchDelayMillisecondsPerToken: number;
-  /** Expected time of a call before any was measured, in milliseconds. */
+  /** Expected duration of a call before any has been measured, in milliseconds. */
   readonly callMilliseconds: number;
-  /** Price of leaving the own availability zone, in milliseconds. */
+  /** Cost of a replica in another availability zone, in milliseconds. */
   readonly zoneMilliseconds: number;
-  /** Price of each call that is computed beside, since a batch shares the replica, in milliseconds. */
+  /**
+   * Cost of each other call at the replica, since the calls of a batch share its compute, in
+   * milliseconds.
+   */
   readonly sharingMilliseconds: number;
-  /** Prefixes remembered, at most. */
+  /** Maximum number of prefixes in the index. */
   readonly maxPrefixes: number;
-  /** Numbers from 0 up to 1, for choices between replicas of nearly equal cost. */
+  /**
+   * Returns random numbers from 0 (inclusive) to 1 (exclusive); samples candidates and breaks ties
+   * between replicas of nearly equal cost.
+   */
   readonly random: () => number;
 }
 
-/** Up to this number of replicas all are compared; above it, only two random ones and the holders. */
-const FULL_SCAN_REPLICAS = 32;
-/** Random replicas that are compared when there are too many for a full scan. */
+/**
+ * Number of replicas up to which all are compared; above it, only two random ones and those that
+ * hold a prefix.
+ */
+const MAXIMUM_FULL_SCAN_REPLICAS = 32;
+/** Number of random replicas that are compared when there are too many for a full scan. */
 const RANDOM_CANDIDATES = 2;
-/** Costs this much apart count as equal, in milliseconds: it keeps instances from herding. */
-const EQUAL_COST_MILLISECONDS = 20;
+/**
+ * Cost difference up to which replicas count as equal, in milliseconds; a random choice among them
+ * keeps instances from herding.
+ */
+const COST_TOLERANCE_MILLISECONDS = 20;
 
 interface KnownReplica extends ReplicaDescription {
-  readonly run: ReplicaRun;
+  readonly replicaIncarnation: ReplicaIncarnation;
   readonly load: ReplicaLoad;
 }
 
@@ -55,27 +67,28 @@
 }
 
 /**
- * Chooses the replica with the least cost: queueing, prompt tokens to compute again, which hold up
- * the other calls of the batch too, and the way to another availability zone. When a replica without capacity
- * would be the better one even after waiting for a place, the call waits.
+ * Chooses the replica with the lowest cost: the time in its queue, the prompt tokens that are not
+ * cached and have to be computed, which delay the other calls of the batch too, the calls that
+ * share the replica, and a different availability zone. If a replica without capacity costs less
+ * even with the wait for a slot, the call waits.
  *
  * @example
- * const placement = chooser.choose(request, timers.now(), id => windows.hasRoom(id));
+ * const placement = chooser.choose(request, now, id => windows.get(id)?.hasCapacity(now) === true);
  */
 export class CostReplicaChooser implements ReplicaChooser {
-  private readonly record: PrefixRecord;
+  private readonly prefixIndex: PrefixIndex;
   private replicas = new Map<UpstreamId, KnownReplica>();
-  private replicasByRun = new Map<ReplicaRun, KnownReplica>();
-  private order: readonly KnownReplica[] = [];
-  private nextRun = 0;
+  private replicasByIncarnation = new Map<ReplicaIncarnation, KnownReplica>();
+  private replicaList: readonly KnownReplica[] = [];
+  private nextIncarnation = 0;
 
   public constructor(private readonly options: CostReplicaChooserOptions) {
-    this.record = new PrefixRecord(options.maxPrefixes);
+    this.prefixIndex = new PrefixIndex(options.maxPrefixes);
   }
 
-  /** Prefixes remembered. */
-  public get rememberedPrefixes(): number {
-    return this.record.size;
+  /** Number of prefixes in the index. */
+  public get prefixCount(): number {
+    return this.prefixIndex.size;
   }
 
   public update(replicas: readonly ReplicaDescription[]): void {
@@ -83,12 +96,15 @@
     for (const { id, zone } of replicas) {
       const known = this.replicas.get(id);
       const load = known?.load ?? new ReplicaLoad(this.options.callMilliseconds);
-      const run = known?.run ?? (this.nextRun++ as ReplicaRun);
-      updated.set(id, { id, load, run, zone });
+      const replicaIncarnation =
+        known?.replicaIncarnation ?? (this.nextIncarnation++ as ReplicaIncarnation);
+      updated.set(id, { id, load, replicaIncarnation, zone });
     }
     this.replicas = updated;
-    this.order = [...updated.values()];
-    this.replicasByRun = new Map(this.order.map(replica => [replica.run, replica]));
+    this.replicaList = [...updated.values()];
+    this.replicasByIncarnation = new Map(
+      this.replicaList.map(replica => [replica.replicaIncarnation, replica]),
+    );
   }
 
   public choose(
@@ -96,29 +112,29 @@
     now: number,
     hasCapacity: CapacityPredicate,
   ): Placement | undefined {
-    const cached = this.record.cachedTokens(request.prefixes);
+    const cachedTokens = this.prefixIndex.countCachedTokens(request.prefixes);
     const candidates: Candidate[] = [];
-    let leastMilliseconds = Infinity;
-    for (const replica of this.candidates(cached)) {
+    let lowestMilliseconds = Infinity;
+    for (const replica of this.selectCandidates(cachedTokens)) {
       if (replica.load.suspectedUntil > now || request.excluded.has(replica.id)) {
         continue;
       }
-      const candidate = this.price(replica, request, cached, hasCapacity);
+      const candidate = this.estimateCost(replica, request, cachedTokens, hasCapacity);
       candidates.push(candidate);
-      leastMilliseconds = Math.min(leastMilliseconds, candidate.expectedMilliseconds);
+      lowestMilliseconds = Math.min(lowestMilliseconds, candidate.expectedMilliseconds);
     }
-    const good = candidates.filter(
-      ({ expectedMilliseconds, hasCapacity: isOpen }) =>
-        isOpen && expectedMilliseconds <= leastMilliseconds + EQUAL_COST_MILLISECONDS,
+    const eligible = candidates.filter(
+      ({ expectedMilliseconds, hasCapacity: isAvailable }) =>
+        isAvailable && expectedMilliseconds <= lowestMilliseconds + COST_TOLERANCE_MILLISECONDS,
     );
-    return good[Math.floor(this.options.random() * good.length)];
+    return eligible[Math.floor(this.options.random() * eligible.length)];
   }
 
   public noteDispatch(replica: UpstreamId, prefixes: PrefixChain, now: number): void {
     const known = this.replicas.get(replica);
     known?.load.noteDispatch(now);
     if (known !== undefined) {
-      this.record.add(known.run, prefixes);
+      this.prefixIndex.add(known.replicaIncarnation, prefixes);
     }
   }
 
@@ -133,10 +149,10 @@
       case 'cancelled':
         return;
       case 'failed':
-        this.forget(known, prefixes);
+        this.removePrefixes(known, prefixes);
         return;
       case 'succeeded':
-        this.record.add(known.run, prefixes);
+        this.prefixIndex.add(known.replicaIncarnation, prefixes);
         return;
     }
   }
@@ -152,10 +168,10 @@
     }
     switch (change) {
       case 'evicted':
-        this.record.remove(known.run, digest);
+        this.prefixIndex.remove(known.replicaIncarnation, digest);
         return;
       case 'stored':
-        this.record.addIfKnown(known.run, digest);
+        this.prefixIndex.addIfKnown(known.replicaIncarnation, digest);
         return;
     }
   }
@@ -167,25 +183,27 @@
     }
   }
 
-  private forget({ run }: KnownReplica, prefixes: PrefixChain): void {
+  private removePrefixes({ replicaIncarnation }: KnownReplica, prefixes: PrefixChain): void {
     for (const { digest } of prefixes) {
-      this.record.remove(run, digest);
+      this.prefixIndex.remove(replicaIncarnation, digest);
     }
   }
 
-  private candidates(cached: ReadonlyMap<ReplicaRun, number>): Iterable<KnownReplica> {
-    if (this.order.length <= FULL_SCAN_REPLICAS) {
-      return this.order;
+  private selectCandidates(
+    cachedTokens: ReadonlyMap<ReplicaIncarnation, number>,
+  ): Iterable<KnownReplica> {
+    if (this.replicaList.length <= MAXIMUM_FULL_SCAN_REPLICAS) {
+      return this.replicaList;
     }
     const chosen = new Set<KnownReplica>();
-    for (const run of cached.keys()) {
-      const holder = this.replicasByRun.get(run);
+    for (const replicaIncarnation of cachedTokens.keys()) {
+      const holder = this.replicasByIncarnation.get(replicaIncarnation);
       if (holder !== undefined) {
         chosen.add(holder);
       }
     }
     for (let count = 0; count < RANDOM_CANDIDATES; count++) {
-      const sample = this.order[Math.floor(this.options.random() * this.order.length)];
+      const sample = this.replicaList[Math.floor(this.options.random() * this.replicaList.length)];
       if (sample !== undefined) {
         chosen.add(sample);
       }
@@ -193,30 +211,36 @@
     return chosen;
   }
 
-  private price(
+  private estimateCost(
     replica: KnownReplica,
     request: PlacementRequest,
-    cached: ReadonlyMap<ReplicaRun, number>,
+    cachedTokens: ReadonlyMap<ReplicaIncarnation, number>,
     hasCapacity: CapacityPredicate,
   ): Candidate {
     const { options } = this;
     const { predictedCalls, meanCallMilliseconds } = replica.load;
-    const expectedCachedTokens = Math.min(request.promptTokens, cached.get(replica.run) ?? 0);
+    const expectedCachedTokens = Math.min(
+      request.promptTokens,
+      cachedTokens.get(replica.replicaIncarnation) ?? 0,
+    );
     const uncachedTokens = request.promptTokens - expectedCachedTokens;
-    const millisecondsPerPlace = meanCallMilliseconds / options.slotsPerReplica;
+    const millisecondsPerSlot = meanCallMilliseconds / options.slotsPerReplica;
     const batchSize = Math.min(predictedCalls, options.slotsPerReplica);
     const millisecondsPerToken =
       options.prefillMillisecondsPerToken + batchSize * options.batchDelayMillisecondsPerToken;
-    const isOpen = hasCapacity(replica.id);
-    const placesToWait = Math.max(isOpen ? 0 : 1, predictedCalls - options.slotsPerReplica + 1);
+    const isAvailable = hasCapacity(replica.id);
+    const slotsToWaitFor = Math.max(
+      isAvailable ? 0 : 1,
+      predictedCalls - options.slotsPerReplica + 1,
+    );
     return {
       expectedCachedTokens,
       expectedMilliseconds:
-        placesToWait * millisecondsPerPlace +
+        slotsToWaitFor * millisecondsPerSlot +
         uncachedTokens * millisecondsPerToken +
         predictedCalls * options.sharingMilliseconds +
         (replica.zone === options.zone ? 0 : options.zoneMilliseconds),
-      hasCapacity: isOpen,
+      hasCapacity: isAvailable,
       replica: replica.id,
     };
   }
--- a/packages/scheduling/src/replicas/prefixChain.ts
+++ b/packages/scheduling/src/replicas/prefixChain.ts
@@ -1,14 +1,17 @@
 import type { Brand } from '@zincring/core';
 
-/** Digest of a prompt's prefix: it stands for every segment from the first up to one. */
+/**
+ * Digest of a prompt's prefix, computed over all segments from the first up to the end of the
+ * prefix.
+ */
 export type PrefixDigest = Brand<string, 'PrefixDigest'>;
 
 /** One prefix of a prompt. */
 export interface PromptPrefix {
   readonly digest: PrefixDigest;
-  /** Tokens of the whole prefix. */
+  /** Number of tokens of the complete prefix. */
   readonly tokens: number;
 }
 
-/** All prefixes of a prompt that may be cached, shortest first, one for each turn. */
+/** Prefixes of a prompt that may be cached, one for each turn, shortest first. */
 export type PrefixChain = readonly PromptPrefix[];
--- a/packages/scheduling/src/replicas/replicaChooser.ts
+++ b/packages/scheduling/src/replicas/replicaChooser.ts
@@ -2,7 +2,7 @@
 
 import type { PrefixChain, PrefixDigest } from './prefixChain.js';
 
-/** A replica as the list of the platform tells it. */
+/** A replica as listed by the platform. */
 export interface ReplicaDescription {
   readonly id: UpstreamId;
   readonly zone: AvailabilityZone;
@@ -10,15 +10,15 @@
 
 /** A load report of a replica. */
 export interface LoadReport {
-  /** Calls being computed, from all instances. */
+  /** Number of calls being computed, from all instances. */
   readonly running: number;
-  /** Calls waiting at the replica, from all instances. */
+  /** Number of calls waiting at the replica, from all instances. */
   readonly waiting: number;
-  /** Monotonic time that the report describes, as well as it is known. */
+  /** Estimated monotonic time at which the load was measured, in milliseconds. */
   readonly measuredAt: number;
 }
 
-/** A change of a replica's prefix cache, as it publishes them late and with gaps. */
+/** A change of a replica's prefix cache. Replicas publish these with delays and gaps. */
 export interface CacheChange {
   readonly replica: UpstreamId;
   readonly change: 'evicted' | 'stored';
@@ -30,26 +30,29 @@
   /** Prefixes of the prompt that may be cached; empty for plain services. */
   readonly prefixes: PrefixChain;
   readonly promptTokens: number;
-  /** Replicas that must not be chosen, such as those that were tried already. */
+  /** Replicas that must not be chosen, such as those already tried. */
   readonly excluded: ReadonlySet<UpstreamId>;
 }
 
-/** A replica and what choosing it is expected to cost. */
+/** A chosen replica and its expected cost. */
 export interface Placement {
   readonly replica: UpstreamId;
   /** Expected time before the first token, in milliseconds. */
   readonly expectedMilliseconds: number;
-  /** Prompt tokens that are expected to be cached there. */
+  /** Number of prompt tokens that are expected to be cached there. */
   readonly expectedCachedTokens: number;
 }
 
-/** Tells whether a replica may get one more call from this instance right now. */
+/** Returns whether a replica may get one more call from this instance now. */
 export type CapacityPredicate = (replica: UpstreamId) => boolean;
 
-/** How a dispatch ended: given up by its caller, failed by the replica's fault, or well. */
+/**
+ * End of a dispatched call: cancelled by its caller, failed through a fault of the replica, or
+ * succeeded.
+ */
 export type DispatchEnd = 'cancelled' | 'failed' | 'succeeded';
 
-/** What a finished or failed dispatch tells about its replica. */
+/** Outcome of a dispatched call, from which the estimates of its replica are updated. */
 export interface DispatchOutcome {
   readonly replica: UpstreamId;
   readonly prefixes: PrefixChain;
@@ -59,22 +62,25 @@
 
 /** Chooses the replica that a call is sent to. */
 export interface ReplicaChooser {
-  /** Takes over the replicas that may get new work; the others are forgotten. */
+  /** Replaces the list of replicas that may get new work; the state of all others is dropped. */
   update(replicas: readonly ReplicaDescription[]): void;
-  /** Chooses without side effects; `undefined` when the call had better wait, or no replica is left. */
+  /**
+   * Chooses a replica without side effects; `undefined` if the call should wait or no replica is
+   * left.
+   */
   choose(
     request: PlacementRequest,
     now: number,
     hasCapacity: CapacityPredicate,
   ): Placement | undefined;
-  /** Counts a call as sent. */
+  /** Records that a call was sent. */
   noteDispatch(replica: UpstreamId, prefixes: PrefixChain, now: number): void;
-  /** Counts a call as ended, whatever its end. */
+  /** Records the end of a call, whatever its outcome. */
   noteOutcome(outcome: DispatchOutcome, now: number): void;
-  /** Takes in a load report. */
+  /** Applies a load report. */
   observeLoad(replica: UpstreamId, report: LoadReport): void;
-  /** Takes in a cache event. */
+  /** Applies a cache event. */
   observeCacheChange(change: CacheChange): void;
-  /** Gives a replica no new work until a time, after failures that make it suspect. */
+  /** Excludes a replica from new work until a monotonic time, after a failure. */
   suspectUntil(replica: UpstreamId, until: number): void;
 }
--- a/packages/scheduling/src/replicas/replicaLoad.ts
+++ b/packages/scheduling/src/replicas/replicaLoad.ts
@@ -5,14 +5,14 @@
   readonly inFlight: number;
 }
 
-/** Changes of the own work in flight that are kept, at most. */
-const MAX_CHANGES = 64;
-/** Weight of the newest sample in a moving average. */
-const SMOOTHING = 0.1;
+/** Maximum number of recorded changes in this instance's calls in flight. */
+const MAXIMUM_CHANGES = 64;
+/** Weight of the newest sample in the moving average of call durations. */
+const SMOOTHING_FACTOR = 0.1;
 
 /**
- * The load of one replica as this instance can know it: the last report, which lags behind, with
- * its own share of then replaced by its own work of now.
+ * Estimated load of one replica. The last report lags behind, so the calls of this instance that it
+ * counted are replaced by those that are in flight now.
  *
  * @example
  * const load = new ReplicaLoad(2_000);
@@ -20,42 +20,42 @@
  * load.predictedCalls; // 1
  */
 export class ReplicaLoad {
-  /** Time until which the replica gets no new work. */
+  /** Monotonic time until which the replica gets no new work, in milliseconds. */
   public suspectedUntil = -Infinity;
   private readonly changes: InFlightChange[] = [];
   private inFlight = 0;
   private othersInFlight = 0;
 
-  /** @param callMilliseconds expected time of a call before any was measured */
+  /** @param callMilliseconds expected duration of a call before any has been measured */
   public constructor(private callMilliseconds: number) {}
 
-  /** Own calls in flight. */
+  /** Number of this instance's calls in flight. */
   public get ownInFlight(): number {
     return this.inFlight;
   }
 
-  /** Calls at the replica, from all instances. */
+  /** Estimated number of calls at the replica, from all instances. */
   public get predictedCalls(): number {
     return this.othersInFlight + this.inFlight;
   }
 
-  /** Moving average of the time that calls take at the replica, in milliseconds. */
+  /** Moving average of the duration of calls at the replica, in milliseconds. */
   public get meanCallMilliseconds(): number {
     return this.callMilliseconds;
   }
 
-  /** Counts a call as sent. */
+  /** Records that a call was sent. */
   public noteDispatch(now: number): void {
     this.changeInFlight(1, now);
   }
 
-  /** Counts a call as ended. */
+  /** Records the end of a call. */
   public noteEnd(durationMilliseconds: number, now: number): void {
     this.changeInFlight(-1, now);
-    this.callMilliseconds += SMOOTHING * (durationMilliseconds - this.callMilliseconds);
+    this.callMilliseconds += SMOOTHING_FACTOR * (durationMilliseconds - this.callMilliseconds);
   }
 
-  /** Takes in a report. */
+  /** Applies a load report. */
   public observe({ measuredAt, running, waiting }: LoadReport): void {
     this.othersInFlight = Math.max(0, running + waiting - this.inFlightAt(measuredAt));
   }
@@ -63,8 +63,8 @@
   private changeInFlight(difference: number, now: number): void {
     this.inFlight = Math.max(0, this.inFlight + difference);
     this.changes.push({ at: now, inFlight: this.inFlight });
-    if (this.changes.length > MAX_CHANGES) {
-      this.changes.splice(0, MAX_CHANGES / 2);
+    if (this.changes.length > MAXIMUM_CHANGES) {
+      this.changes.splice(0, MAXIMUM_CHANGES / 2);
     }
   }
 
--- a/packages/scheduling/src/retries/quarantine.ts
+++ b/packages/scheduling/src/retries/quarantine.ts
@@ -1,111 +1,122 @@
 import type { Brand, UpstreamId } from '@zincring/core';
 
-/** Digest of a request's service and body, the same for a resend through any instance. */
+/**
+ * Digest of a request's service and body; a request sent again through any instance has the same
+ * one.
+ */
 export type BodyDigest = Brand<string, 'BodyDigest'>;
 
-/** Identifier of one death, unique across the fleet: an upstream may die, restart and die again. */
+/**
+ * Identifier of one crash, unique across the fleet: an upstream may crash, restart and crash again.
+ */
 export type DeathId = Brand<string, 'DeathId'>;
 
-/** An upstream that died while it ran a body; instances tell each other these. */
+/** Crash of an upstream while it processed a request; instances exchange these. */
 export interface UpstreamDeath {
   readonly death: DeathId;
   readonly body: BodyDigest;
   readonly upstream: UpstreamId;
-  /** Time since the death, in milliseconds. */
+  /** Time since the crash, in milliseconds. */
   readonly ageMilliseconds: number;
 }
 
 /** Limits of a {@link Quarantine}. */
 export interface QuarantineOptions {
-  /** Upstreams that may die before a body is refused. */
+  /** Number of crashes at which a body is refused. */
   readonly maxDeaths: number;
-  /** Time for which a body is refused, and a death counts, in milliseconds. */
+  /** Time for which a body is refused and a crash counts, in milliseconds. */
   readonly durationMilliseconds: number;
-  /** Bodies remembered, at most. */
+  /** Maximum number of bodies kept. */
   readonly maxBodies: number;
 }
 
-/** Options that stop a body after two upstreams, for ten minutes. */
+/** Default options: refuse a body for ten minutes after two crashes of upstreams. */
 export const defaultQuarantineOptions: QuarantineOptions = {
   durationMilliseconds: 600_000,
   maxBodies: 10_000,
   maxDeaths: 2,
 };
 
-interface KnownDeath {
+interface RecordedCrash {
   readonly upstream: UpstreamId;
-  /** By this instance's clock. */
-  readonly diedAt: number;
+  /** Time of the crash by this instance's clock, in milliseconds. */
+  readonly crashedAt: number;
 }
 
 interface SuspectBody {
-  readonly deaths: Map<DeathId, KnownDeath>;
+  readonly crashes: Map<DeathId, RecordedCrash>;
 }
 
 /**
- * Bodies whose upstreams died while running them. A body that brought down upstreams too
- * often, counted over all instances, is refused for a time.
+ * Counts crashes of upstreams by request body. A body with too many crashes, counted over all
+ * instances, is treated as a poison request and refused for a limited time.
  *
  * @example
  * quarantine.noteDeath({ ageMilliseconds: 0, body, death, upstream }, timers.now());
  * quarantine.refusedUntil(body, timers.now());
  */
 export class Quarantine {
-  /** In order of the last death: a map keeps the order of insertion. */
+  /** Ordered by the crash recorded last: a map keeps the order of insertion. */
   private readonly bodies = new Map<BodyDigest, SuspectBody>();
 
   public constructor(private readonly options: QuarantineOptions = defaultQuarantineOptions) {}
 
-  /** Number of bodies remembered. */
+  /** Number of bodies kept. */
   public get size(): number {
     return this.bodies.size;
   }
 
-  /** Takes in a death seen here or told by another instance; hearing of it twice changes nothing. */
-  public noteDeath({ ageMilliseconds, body, death, upstream }: UpstreamDeath, now: number): void {
-    const diedAt = now - Math.max(0, ageMilliseconds);
-    if (now - diedAt >= this.options.durationMilliseconds) {
+  /** Records a crash that this or another instance observed; recording it again has no effect. */
+  public noteDeath(
+    { ageMilliseconds, body, death: crashId, upstream }: UpstreamDeath,
+    now: number,
+  ): void {
+    const crashedAt = now - Math.max(0, ageMilliseconds);
+    if (now - crashedAt >= this.options.durationMilliseconds) {
       return;
     }
-    const suspect = this.bodies.get(body) ?? { deaths: new Map<DeathId, KnownDeath>() };
-    if (suspect.deaths.has(death) || suspect.deaths.size >= this.options.maxDeaths) {
+    const suspect = this.bodies.get(body) ?? { crashes: new Map<DeathId, RecordedCrash>() };
+    if (suspect.crashes.has(crashId) || suspect.crashes.size >= this.options.maxDeaths) {
       return;
     }
-    suspect.deaths.set(death, { diedAt, upstream });
+    suspect.crashes.set(crashId, { crashedAt, upstream });
     this.bodies.delete(body);
     this.bodies.set(body, suspect);
-    this.forget(now);
+    this.trimBodies(now);
   }
 
-  /** Deaths of upstreams while running a body. */
+  /**
+   * Returns the number of recorded crashes of upstreams that processed a body; 0 once they have
+   * expired.
+   */
   public deathsOf(body: BodyDigest, now: number): number {
     const suspect = this.bodies.get(body);
-    return suspect === undefined || this.hasExpired(suspect, now) ? 0 : suspect.deaths.size;
+    return suspect === undefined || this.hasExpired(suspect, now) ? 0 : suspect.crashes.size;
   }
 
-  /** Time until which a body is refused; `undefined` when it may run. */
+  /** Returns the time until which a body is refused; `undefined` if it may run. */
   public refusedUntil(body: BodyDigest, now: number): number | undefined {
     if (this.deathsOf(body, now) < this.options.maxDeaths) {
       return undefined;
     }
-    return this.lastDeathOf(this.bodies.get(body)) + this.options.durationMilliseconds;
+    return this.lastCrashAt(this.bodies.get(body)) + this.options.durationMilliseconds;
   }
 
-  /** Deaths to tell other instances, newest first. */
+  /** Returns crashes to send to other instances, ordered by body, the most recent first. */
   public recentDeaths(now: number, limit: number): readonly UpstreamDeath[] {
     const recent: UpstreamDeath[] = [];
     for (const [body, suspect] of [...this.bodies].reverse()) {
-      for (const [death, { diedAt, upstream }] of suspect.deaths) {
+      for (const [crashId, { crashedAt, upstream }] of suspect.crashes) {
         if (recent.length >= limit) {
           return recent;
         }
-        recent.push({ ageMilliseconds: now - diedAt, body, death, upstream });
+        recent.push({ ageMilliseconds: now - crashedAt, body, death: crashId, upstream });
       }
     }
     return recent;
   }
 
-  private forget(now: number): void {
+  private trimBodies(now: number): void {
     for (const [body, suspect] of this.bodies) {
       if (this.bodies.size <= this.options.maxBodies && !this.hasExpired(suspect, now)) {
         return;
@@ -115,11 +126,11 @@
   }
 
   private hasExpired(suspect: SuspectBody, now: number): boolean {
-    return now - this.lastDeathOf(suspect) >= this.options.durationMilliseconds;
+    return now - this.lastCrashAt(suspect) >= this.options.durationMilliseconds;
   }
 
-  private lastDeathOf(suspect: SuspectBody | undefined): number {
-    const times = [...(suspect?.deaths.values() ?? [])].map(({ diedAt }) => diedAt);
+  private lastCrashAt(suspect: SuspectBody | undefined): number {
+    const times = [...(suspect?.crashes.values() ?? [])].map(({ crashedAt }) => crashedAt);
     return Math.max(-Infinity, ...times);
   }
 }
--- a/packages/scheduling/src/retries/retryBudget.ts
+++ b/packages/scheduling/src/retries/retryBudget.ts
@@ -1,20 +1,23 @@
-/** Size of a {@link RetryBudget}. */
+/** Options of a {@link RetryBudget}. */
 export interface RetryBudgetOptions {
-  /** Retries for each first attempt. */
+  /** Number of retries that each first attempt adds to the budget; usually a fraction. */
   readonly share: number;
-  /** Retries per second that are allowed without traffic, over all instances. */
+  /**
+   * Number of retries per second, over all instances, that are allowed independently of the
+   * traffic.
+   */
   readonly reservePerSecond: number;
-  /** Instances that share the reserve. */
+  /** Number of instances that share the reserve. */
   readonly instances: number;
-  /** Retries that can be saved up. */
+  /** Maximum number of unused retries that the budget keeps. */
   readonly maxSaved: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
 /**
- * Bounds retries to a share of first attempts. The share holds for the fleet when it holds on each
- * instance, so the instances need not talk.
+ * Limits retries to a share of the first attempts, plus a small reserve. If every instance keeps to
+ * the share, the fleet does too, so the instances need no coordination.
  *
  * @example
  * budget.noteFirstAttempt();
@@ -24,23 +27,29 @@
  */
 export class RetryBudget {
   private saved = 0;
-  /** @param lastRefillAt time from which the reserve counts; the first retry by default */
+  /**
+   * @param lastRefillAt monotonic time from which the reserve accrues; that of the first retry by
+   * default
+   */
   public constructor(
     private readonly options: RetryBudgetOptions,
     private lastRefillAt?: number,
   ) {}
 
-  /** Retries that are left, before the reserve of the time since the last one. */
+  /**
+   * Number of retries left, without the reserve that has accrued since the last call of
+   * {@link tryRetry}.
+   */
   public get available(): number {
     return this.saved;
   }
 
-  /** Counts a first attempt. */
+  /** Records a first attempt. */
   public noteFirstAttempt(): void {
     this.saved = Math.min(this.options.maxSaved, this.saved + this.options.share);
   }
 
-  /** Takes one retry out of the budget, if there is one. */
+  /** Acquires one retry from the budget; returns whether one was available. */
   public tryRetry(now: number): boolean {
     this.refill(now);
     if (this.saved < 1) {
@@ -51,10 +60,13 @@
   }
 
   private refill(now: number): void {
-    const elapsed = Math.max(0, now - (this.lastRefillAt ?? now));
+    const elapsedMilliseconds = Math.max(0, now - (this.lastRefillAt ?? now));
     this.lastRefillAt = now;
     const { instances, maxSaved, reservePerSecond } = this.options;
-    const ownReserve = reservePerSecond / Math.max(1, instances);
-    this.saved = Math.min(maxSaved, this.saved + (elapsed / MILLISECONDS_PER_SECOND) * ownReserve);
+    const instanceReservePerSecond = reservePerSecond / Math.max(1, instances);
+    this.saved = Math.min(
+      maxSaved,
+      this.saved + (elapsedMilliseconds / MILLISECONDS_PER_SECOND) * instanceReservePerSecond,
+    );
   }
 }
--- a/packages/scheduling/src/service/serviceScheduler.ts
+++ b/packages/scheduling/src/service/serviceScheduler.ts
@@ -17,85 +17,92 @@
 import { ConcurrencyWindow } from '../windows/concurrencyWindow.js';
 import { WakeTimes } from './wakeTimes.js';
 
-/** Work that waits for a replica of one service. */
+/** Work that waits for a replica of one service. Times are monotonic milliseconds. */
 export interface ScheduledItem extends PlacementRequest, QueueItem {
-  /** When the work entered the instance. */
+  /** Time at which the work entered the instance. */
   readonly enqueuedAt: number;
 }
 
-/** Work that is to be sent now. */
+/** Work to be sent now, with its replica. */
 export interface Dispatch<Item extends ScheduledItem> {
   readonly item: Item;
   readonly placement: Placement;
-  /** For the replica; lower numbers run first. */
+  /** Priority at the replica; lower numbers run first. */
   readonly priority: number;
 }
 
-/** How work that was sent has ended. */
+/** Report of the end of work that was sent. */
 export interface DispatchReport {
   readonly id: WorkId;
   readonly end: DispatchEnd;
-  /** Tokens that were computed for it. */
+  /** Number of tokens that were computed for the work. */
   readonly usedTokens: number;
-  /** Prefixes that the replica holds from now on, where they are more than were asked for. */
+  /** Prefixes that the replica now holds, if they go beyond those of the request. */
   readonly prefixes?: PrefixChain;
 }
 
 /** Decides which work of one service goes to which replica, and when. */
 export interface ServiceScheduler<Item extends ScheduledItem> {
-  /** Items that wait. */
+  /** Number of waiting items. */
   readonly size: number;
-  /** Takes over the replicas that may get new work. */
+  /** Replaces the list of replicas that may get new work. */
   update(replicas: readonly ReplicaDescription[]): void;
   /** Adds work. */
   submit(item: Item, now: number): PushOutcome;
-  /** The next work to send, counted as sent; `undefined` when all that waits has to wait on. */
+  /**
+   * Returns the next work to send and records it as sent; `undefined` if no waiting work can be
+   * sent now.
+   */
   next(now: number): Dispatch<Item> | undefined;
-  /** When {@link next} should be asked again though nothing happened; `undefined` for never. */
+  /**
+   * Returns the time at which {@link next} should be called again if nothing else happens;
+   * `undefined` for none.
+   */
   nextWakeAt(now: number): number | undefined;
-  /** Removes work that waits. */
+  /** Removes waiting work. */
   cancel(id: WorkId): Item | undefined;
-  /** Counts work that was sent as ended. */
+  /** Records the end of work that was sent. */
   noteEnd(report: DispatchReport, now: number): void;
-  /** Takes in a load report. */
+  /** Applies a load report. */
   observeLoad(replica: UpstreamId, report: LoadReport, now: number): void;
-  /** Takes in a cache event. */
+  /** Applies a cache event. */
   observeCacheChange(change: CacheChange): void;
-  /** Counts tokens that other instances served to a workspace. */
+  /** Charges a workspace for tokens that other instances served to it. */
   observeRemoteUse(workspace: WorkspaceName, tokens: number): void;
 }
 
-/** Parts of a {@link WindowedServiceScheduler}. */
+/** Dependencies and settings of a {@link WindowedServiceScheduler}. */
 export interface WindowedServiceSchedulerOptions<Item extends ScheduledItem> {
   readonly queue: WorkQueue<Item>;
   readonly chooser: ReplicaChooser;
   readonly window: ConcurrencyWindowOptions;
   /**
-   * Calls beyond the window of a replica that a workspace below its share may have there. They wait
-   * at the replica before all others, since the next place of any instance is theirs.
+   * Number of calls beyond the window of a replica that are allowed for workspaces below their
+   * share. They have the highest priority at the replica and get its next free slot, ahead of the
+   * calls of all instances.
    */
   readonly belowShareOverflow: number;
   /** Time for which a replica gets no new work after a failure, in milliseconds. */
   readonly suspicionMilliseconds: number;
 }
 
-/** What a status shows of the window of one replica. */
+/** Status of the concurrency window of one replica. */
 export interface WindowStatus {
-  /** Calls that may be in flight on average. */
+  /** Average number of calls that may be in flight; it may be below one. */
   readonly size: number;
-  /** Calls in flight. */
+  /** Number of calls in flight. */
   readonly used: number;
 }
 
-interface Sent<Item extends ScheduledItem> {
+interface DispatchedItem<Item extends ScheduledItem> {
   readonly item: Item;
   readonly replica: UpstreamId;
-  readonly at: number;
+  readonly dispatchedAt: number;
 }
 
 /**
- * Queue, choice of the replica and windows put together: work waits in the queue until a replica
- * that suits it has room.
+ * Combines a work queue, a replica chooser and a concurrency window for each replica: work waits in
+ * the queue until a suitable replica has capacity.
  *
  * @example
  * scheduler.submit(item, timers.now());
@@ -107,7 +114,7 @@
   Item extends ScheduledItem,
 > implements ServiceScheduler<Item> {
   private readonly windows = new Map<UpstreamId, ConcurrencyWindow>();
-  private readonly sent = new Map<WorkId, Sent<Item>>();
+  private readonly inFlightItems = new Map<WorkId, DispatchedItem<Item>>();
   private readonly wakeTimes = new WakeTimes();
   private windowOptions: ConcurrencyWindowOptions;
 
@@ -119,35 +126,35 @@
     return this.options.queue.size;
   }
 
-  /** Calls that were sent and have not ended. */
+  /** Number of calls that were sent and have not ended. */
   public get inFlight(): number {
-    return this.sent.size;
+    return this.inFlightItems.size;
   }
 
   public update(replicas: readonly ReplicaDescription[]): void {
     this.options.chooser.update(replicas);
-    const listed = new Set(replicas.map(({ id }) => id));
+    const listedIds = new Set(replicas.map(({ id }) => id));
     for (const id of this.windows.keys()) {
-      if (!listed.has(id)) {
+      if (!listedIds.has(id)) {
         this.windows.delete(id);
       }
     }
-    for (const id of listed) {
+    for (const id of listedIds) {
       if (!this.windows.has(id)) {
         this.windows.set(id, new ConcurrencyWindow(this.windowOptions));
       }
     }
   }
 
-  /** Takes over a changed rule or number of instances. */
+  /** Applies a changed rule of the service or number of instances. */
   public reconfigure(window: ConcurrencyWindowOptions): void {
     this.windowOptions = window;
-    for (const each of this.windows.values()) {
-      each.reconfigure(window);
+    for (const replicaWindow of this.windows.values()) {
+      replicaWindow.reconfigure(window);
     }
   }
 
-  /** Size and use of the window of a replica. */
+  /** Returns the size and use of the window of a replica. */
   public describeWindow(replica: UpstreamId): WindowStatus {
     const window = this.windows.get(replica);
     return { size: window?.size ?? 0, used: window?.used ?? 0 };
@@ -169,16 +176,16 @@
       placement = this.options.chooser.choose(
         candidate,
         now,
-        replica => this.windows.get(replica)?.hasRoom(now, overflow) === true,
+        replica => this.windows.get(replica)?.hasCapacity(now, overflow) === true,
       );
       return placement !== undefined;
     });
     if (item === undefined || placement === undefined) {
       return undefined;
     }
-    this.windows.get(placement.replica)?.noteDispatch();
+    this.windows.get(placement.replica)?.recordDispatch();
     this.options.chooser.noteDispatch(placement.replica, item.prefixes, now);
-    this.sent.set(item.id, { at: now, item, replica: placement.replica });
+    this.inFlightItems.set(item.id, { dispatchedAt: now, item, replica: placement.replica });
     return { item, placement, priority: enginePriority({ ...item, isBelowShare, now }) };
   }
 
@@ -195,19 +202,19 @@
 
   public noteEnd(report: DispatchReport, now: number): void {
     const { end, id, usedTokens } = report;
-    const sent = this.sent.get(id);
-    if (sent === undefined) {
+    const dispatched = this.inFlightItems.get(id);
+    if (dispatched === undefined) {
       return;
     }
-    this.sent.delete(id);
+    this.inFlightItems.delete(id);
     this.options.queue.settle(id, usedTokens);
-    const { at, item, replica } = sent;
-    const durationMilliseconds = now - at;
+    const { dispatchedAt, item, replica } = dispatched;
+    const durationMilliseconds = now - dispatchedAt;
     const prefixes = report.prefixes ?? item.prefixes;
     const outcome = { durationMilliseconds, end, prefixes, replica };
     this.options.chooser.noteOutcome(outcome, now);
-    this.noteWindowEnd(replica, end, durationMilliseconds, now);
-    this.wakeTimes.add(this.windows.get(replica)?.nextRoomAt(now) ?? now, now);
+    this.recordWindowEnd(replica, end, durationMilliseconds, now);
+    this.wakeTimes.add(this.windows.get(replica)?.nextCapacityAt(now) ?? now, now);
   }
 
   public observeLoad(replica: UpstreamId, report: LoadReport, now: number): void {
@@ -223,23 +230,23 @@
     this.options.queue.observeRemoteUse(workspace, tokens);
   }
 
-  private noteWindowEnd(
+  private recordWindowEnd(
     replica: UpstreamId,
     end: DispatchEnd,
-    duration: number,
+    durationMilliseconds: number,
     now: number,
   ): void {
     const window = this.windows.get(replica);
     switch (end) {
       case 'cancelled':
-        window?.noteCancellation(now);
+        window?.recordCancellation(now);
         return;
       case 'failed':
-        window?.noteFailure(now);
+        window?.recordFailure(now);
         this.suspect(replica, now);
         return;
       case 'succeeded':
-        window?.noteSuccess(duration, now);
+        window?.recordSuccess(durationMilliseconds, now);
         return;
     }
   }
--- a/packages/scheduling/src/service/wakeTimes.ts
+++ b/packages/scheduling/src/service/wakeTimes.ts
@@ -3,8 +3,8 @@
 import { LazyHeap } from '../queue/lazyHeap.js';
 
 /**
- * Times at which waiting work may become able to run, earliest first. Times that have passed are
- * dropped as others come, so that memory is bounded by those that lie ahead.
+ * Times at which waiting work may become able to run, earliest first. Past times are dropped when
+ * others are added, which bounds memory by the number of future times.
  *
  * @example
  * const times = new WakeTimes();
@@ -15,7 +15,7 @@
   private readonly times = new LazyHeap<HeapEntry>();
   private nextOrder = 0;
 
-  /** Adds a time, unless it has passed. */
+  /** Adds a time unless it has passed. */
   public add(time: number, now: number): void {
     this.dropUntil(now);
     if (time > now) {
@@ -23,7 +23,7 @@
     }
   }
 
-  /** The earliest time ahead. */
+  /** Returns the earliest future time. */
   public peekAfter(now: number): number | undefined {
     this.dropUntil(now);
     return this.times.peek()?.key;
--- a/packages/scheduling/src/util/trimOldest.ts
+++ b/packages/scheduling/src/util/trimOldest.ts
@@ -1,9 +1,11 @@
-/** Share of a map that one trim frees, so that its cost is spread over as many additions. */
-const FREED_SHARE = 1 / 16;
+/**
+ * Fraction of the maximum size that one trim frees, which amortises its cost over later additions.
+ */
+const FREED_FRACTION = 1 / 16;
 
 /**
- * Deletes the oldest entries of a map that has grown beyond its bound; costs constant time,
- * amortised. A map keeps the order of insertion.
+ * Deletes the entries inserted first from a map that exceeds its maximum size, in amortised
+ * constant time. Relies on the insertion order of a `Map`.
  *
  * @example
  * trimOldest(recentlyUsed, 10_000);
@@ -12,9 +14,9 @@
   if (map.size <= maxSize) {
     return;
   }
-  const kept = maxSize - Math.floor(maxSize * FREED_SHARE);
+  const targetSize = maxSize - Math.floor(maxSize * FREED_FRACTION);
   for (const key of map.keys()) {
-    if (map.size <= kept) {
+    if (map.size <= targetSize) {
       return;
     }
     map.delete(key);
--- a/packages/scheduling/src/windows/concurrencyWindow.ts
+++ b/packages/scheduling/src/windows/concurrencyWindow.ts
@@ -1,39 +1,42 @@
-/** How the window of one replica grows and shrinks. */
+/** Options of a {@link ConcurrencyWindow}. */
 export interface ConcurrencyWindowOptions {
-  /** Most calls in flight at the replica over all instances, as the service's rule says. */
+  /**
+   * Maximum number of calls in flight at the replica over all instances, from the rule of the
+   * service.
+   */
   readonly maxCalls: number;
-  /** Instances that share the replica. */
+  /** Number of instances that share the replica. */
   readonly instances: number;
-  /** Calls waiting at the replica above which the window shrinks. */
+  /** Number of calls waiting at the replica above which the window shrinks. */
   readonly targetWaiting: number;
-  /** Time that calls take before any was measured, in milliseconds. */
+  /** Expected duration of a call before any has been measured, in milliseconds. */
   readonly callMilliseconds: number;
 }
 
-/** Smallest window: one call in flight for a tenth of the time. */
-const SMALLEST_WINDOW = 0.1;
-/** Longest time between two calls of a window below one, in milliseconds. */
-const LONGEST_PROBE_INTERVAL_MILLISECONDS = 5_000;
-/** Calls by which the window grows over the time of one call. */
-const GROWTH = 0.2;
-/** Times of a call that one growth makes up for at most. */
-const MAX_ROUNDS_PER_GROWTH = 2;
-/** What is left of the window after a report of too many calls waiting. */
+/** Minimum window: one call in flight for a tenth of the time. */
+const MINIMUM_WINDOW = 0.1;
+/** Maximum pause between two calls of a window below one, in milliseconds. */
+const MAXIMUM_PROBE_INTERVAL_MILLISECONDS = 5_000;
+/** Number of calls by which the window grows within one round, the duration of one call. */
+const GROWTH_PER_ROUND = 0.2;
+/** Maximum number of rounds that one growth step accounts for. */
+const MAXIMUM_ROUNDS_PER_GROWTH = 2;
+/** Factor that the window is multiplied by after a report of too many waiting calls. */
 const CONGESTION_FACTOR = 0.8;
-/** What is left of the window after a failure. */
+/** Factor that the window is multiplied by after a failure. */
 const FAILURE_FACTOR = 0.5;
-/** Weight of the newest sample in the moving average. */
-const SMOOTHING = 0.1;
+/** Weight of the newest sample in the moving average of call durations. */
+const SMOOTHING_FACTOR = 0.1;
 
 /**
- * Bounds the calls that one instance has in flight at one replica, so that the wait stays in the
- * instance's own queue. Additive increase, multiplicative decrease. A window below one is paced:
- * a window of 0.25 has one call in flight for a quarter of the time, which shares few places among
- * many instances and starves none.
+ * Limits the calls that one instance has in flight at one replica, which keeps waiting calls in the
+ * instance's own queue. The window grows by additive increase and shrinks by multiplicative
+ * decrease. Below one it is paced: with a window of 0.25, one call is in flight for a quarter of
+ * the time. This shares few slots among many instances without starving any.
  *
  * @example
- * if (window.hasRoom(timers.now())) {
- *   window.noteDispatch(timers.now());
+ * if (window.hasCapacity(timers.now())) {
+ *   window.recordDispatch();
  * }
  */
 export class ConcurrencyWindow {
@@ -43,7 +46,7 @@
   private nextDispatchAt = -Infinity;
   private lastDecreaseAt = -Infinity;
   private lastGrowthAt = -Infinity;
-  /** Whether the last report told of too many calls waiting. */
+  /** Whether the last report had too many waiting calls. */
   private isCongested = false;
 
   public constructor(private options: ConcurrencyWindowOptions) {
@@ -51,28 +54,28 @@
     this.window = this.clamp(options.maxCalls / Math.max(1, options.instances));
   }
 
-  /** Calls that may be in flight on average; it may be below one. */
+  /** Average number of calls that may be in flight; it may be below one. */
   public get size(): number {
     return this.window;
   }
 
-  /** Calls in flight. */
+  /** Number of calls in flight. */
   public get used(): number {
     return this.inFlight;
   }
 
-  /** Takes over a changed rule or number of instances. */
+  /** Applies a changed rule of the service or number of instances. */
   public reconfigure(options: ConcurrencyWindowOptions): void {
     this.options = options;
     this.window = this.clamp(this.window);
   }
 
   /**
-   * Tells whether one more call may be sent.
+   * Returns whether one more call may be sent.
    *
-   * @param overflow calls beyond the window that are allowed for this one
+   * @param overflow number of calls beyond the window that are allowed for this call
    */
-  public hasRoom(now: number, overflow = 0): boolean {
+  public hasCapacity(now: number, overflow = 0): boolean {
     if (overflow > 0) {
       return this.inFlight < Math.floor(this.window) + overflow;
     }
@@ -82,41 +85,44 @@
     return this.inFlight === 0 && now >= this.nextDispatchAt;
   }
 
-  /** When {@link hasRoom} may become true by time alone; `undefined` when an end must come first. */
-  public nextRoomAt(now: number): number | undefined {
-    if (this.hasRoom(now)) {
+  /**
+   * Returns the time at which {@link hasCapacity} may become true by itself; `undefined` if a call
+   * has to end first.
+   */
+  public nextCapacityAt(now: number): number | undefined {
+    if (this.hasCapacity(now)) {
       return now;
     }
     return this.inFlight === 0 ? this.nextDispatchAt : undefined;
   }
 
-  /** Counts a call as sent. */
-  public noteDispatch(): void {
+  /** Records that a call was sent. */
+  public recordDispatch(): void {
     this.inFlight++;
   }
 
-  /** Counts a call as ended well. */
-  public noteSuccess(durationMilliseconds: number, now: number): void {
-    this.callMilliseconds += SMOOTHING * (durationMilliseconds - this.callMilliseconds);
-    const isLimiting = this.inFlight >= Math.floor(this.window);
-    this.noteEnd(now);
-    if (isLimiting && !this.isCongested) {
+  /** Records the success of a call. */
+  public recordSuccess(durationMilliseconds: number, now: number): void {
+    this.callMilliseconds += SMOOTHING_FACTOR * (durationMilliseconds - this.callMilliseconds);
+    const wasFull = this.inFlight >= Math.floor(this.window);
+    this.recordEnd(now);
+    if (wasFull && !this.isCongested) {
       this.grow(now);
     }
   }
 
-  /** Counts a call as failed by the replica's fault. */
-  public noteFailure(now: number): void {
-    this.noteEnd(now);
+  /** Records the failure of a call through a fault of the replica. */
+  public recordFailure(now: number): void {
+    this.recordEnd(now);
     this.decrease(FAILURE_FACTOR, now);
   }
 
-  /** Counts a call as given up by its caller. */
-  public noteCancellation(now: number): void {
-    this.noteEnd(now);
+  /** Records the cancellation of a call by its caller. */
+  public recordCancellation(now: number): void {
+    this.recordEnd(now);
   }
 
-  /** Takes in the number of calls that wait at the replica, of all instances. */
+  /** Applies the reported number of calls that wait at the replica, from all instances. */
   public observeWaiting(waiting: number, now: number): void {
     this.isCongested = waiting > this.options.targetWaiting;
     if (this.isCongested) {
@@ -124,25 +130,27 @@
     }
   }
 
-  private noteEnd(now: number): void {
+  private recordEnd(now: number): void {
     this.inFlight = Math.max(0, this.inFlight - 1);
     if (this.window < 1) {
-      const pause = this.callMilliseconds * (1 / this.window - 1);
-      this.nextDispatchAt = now + Math.min(LONGEST_PROBE_INTERVAL_MILLISECONDS, pause);
+      const pauseMilliseconds = this.callMilliseconds * (1 / this.window - 1);
+      this.nextDispatchAt = now + Math.min(MAXIMUM_PROBE_INTERVAL_MILLISECONDS, pauseMilliseconds);
     }
   }
 
   /**
-   * Grows by the time that has passed and not by the calls that have ended, so that small windows
-   * catch up with large ones.
+   * Grows the window by the time elapsed and not by the number of calls ended, which lets small
+   * windows catch up with large ones.
    */
   private grow(now: number): void {
-    const elapsed = (now - this.lastGrowthAt) / this.callMilliseconds;
-    this.window = this.clamp(this.window + GROWTH * Math.min(MAX_ROUNDS_PER_GROWTH, elapsed));
+    const elapsedRounds = (now - this.lastGrowthAt) / this.callMilliseconds;
+    this.window = this.clamp(
+      this.window + GROWTH_PER_ROUND * Math.min(MAXIMUM_ROUNDS_PER_GROWTH, elapsedRounds),
+    );
     this.lastGrowthAt = now;
   }
 
-  /** Shrinks once per round of calls at most, since reports lag behind. */
+  /** Shrinks the window, at most once per round, since reports lag behind. */
   private decrease(factor: number, now: number): void {
     if (now - this.lastDecreaseAt < this.callMilliseconds) {
       return;
@@ -152,6 +160,6 @@
   }
 
   private clamp(window: number): number {
-    return Math.min(this.options.maxCalls, Math.max(SMALLEST_WINDOW, window));
+    return Math.min(this.options.maxCalls, Math.max(MINIMUM_WINDOW, window));
   }
 }
--- a/packages/scheduling/tests/chooserDifferential.test.ts
+++ b/packages/scheduling/tests/chooserDifferential.test.ts
@@ -8,7 +8,7 @@
 const SEED = 5_002;
 const REPLICAS = 6;
 const PROGRAMS = 4;
-const EQUAL_COST = 20;
+const COST_TOLERANCE_MILLISECONDS = 20;
 const options = {
   batchDelayMillisecondsPerToken: 0.05,
   callMilliseconds: 1_000,
@@ -20,7 +20,7 @@
   zone: 'a' as AvailabilityZone,
   zoneMilliseconds: 25,
 };
-const id = (index: number): UpstreamId => `replica-${index}` as UpstreamId;
+const replicaId = (index: number): UpstreamId => `replica-${index}` as UpstreamId;
 const zoneOf = (index: number): AvailabilityZone =>
   (index % 2 === 0 ? 'a' : 'b') as AvailabilityZone;
 const chainOf = (program: number, turns: number): readonly PromptPrefix[] =>
@@ -29,7 +29,7 @@
     tokens: (turn + 1) * 1_000,
   }));
 
-const step = fc.oneof(
+const operationArbitrary = fc.oneof(
   fc.record({
     closed: fc.array(fc.nat(REPLICAS - 1), { maxLength: REPLICAS }),
     excluded: fc.array(fc.nat(REPLICAS - 1), { maxLength: 2 }),
@@ -56,28 +56,33 @@
   }),
 );
 
-describe('CostReplicaChooser against a plain version', () => {
-  test('takes a replica of the least cost, or waits for one, through any history', () => {
+describe('CostReplicaChooser compared with a reference implementation', () => {
+  test('chooses an available replica of nearly the lowest cost, or waits, after any sequence of operations', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 80, minLength: 10 }), steps => {
+      fc.property(fc.array(operationArbitrary, { maxLength: 80, minLength: 10 }), operations => {
         const chooser = new CostReplicaChooser(options);
         const replicas = Array.from({ length: REPLICAS }, (_, index) => index);
-        chooser.update(replicas.map(index => ({ id: id(index), zone: zoneOf(index) })));
-        const held = replicas.map(() => new Set<string>());
-        const sent = replicas.map(() => 0);
-        const others = replicas.map(() => 0);
-        for (const [now, each] of steps.entries()) {
-          switch (each.kind) {
+        chooser.update(replicas.map(index => ({ id: replicaId(index), zone: zoneOf(index) })));
+        const cachedDigests = replicas.map(() => new Set<string>());
+        const ownInFlight = replicas.map(() => 0);
+        const othersInFlight = replicas.map(() => 0);
+        for (const [now, operation] of operations.entries()) {
+          switch (operation.kind) {
             case 'choose': {
-              const prefixes = chainOf(each.program, each.turns);
-              const promptTokens = each.turns * 1_000 + 300;
+              const prefixes = chainOf(operation.program, operation.turns);
+              const promptTokens = operation.turns * 1_000 + 300;
               const costOf = (index: number): number => {
-                const cached = prefixes.filter(({ digest }) => held[index]!.has(digest)).at(-1);
-                const calls = sent[index]! + others[index]!;
-                const isClosed = each.closed.includes(index);
-                const places = Math.max(isClosed ? 1 : 0, calls - options.slotsPerReplica + 1);
+                const cached = prefixes
+                  .filter(({ digest }) => cachedDigests[index]!.has(digest))
+                  .at(-1);
+                const calls = ownInFlight[index]! + othersInFlight[index]!;
+                const lacksCapacity = operation.closed.includes(index);
+                const slotsToWaitFor = Math.max(
+                  lacksCapacity ? 1 : 0,
+                  calls - options.slotsPerReplica + 1,
+                );
                 return (
-                  (places * options.callMilliseconds) / options.slotsPerReplica +
+                  (slotsToWaitFor * options.callMilliseconds) / options.slotsPerReplica +
                   (promptTokens - (cached?.tokens ?? 0)) *
                     (options.prefillMillisecondsPerToken +
                       Math.min(calls, options.slotsPerReplica) *
@@ -86,44 +91,57 @@
                   (zoneOf(index) === options.zone ? 0 : options.zoneMilliseconds)
                 );
               };
-              const allowed = replicas.filter(index => !each.excluded.includes(index));
-              const least = Math.min(...allowed.map(costOf));
-              const good = allowed.filter(
-                index => costOf(index) <= least + EQUAL_COST && !each.closed.includes(index),
+              const allowed = replicas.filter(index => !operation.excluded.includes(index));
+              const lowestCost = Math.min(...allowed.map(costOf));
+              const eligible = allowed.filter(
+                index =>
+                  costOf(index) <= lowestCost + COST_TOLERANCE_MILLISECONDS &&
+                  !operation.closed.includes(index),
               );
-              const excluded = new Set(each.excluded.map(id));
+              const excluded = new Set(operation.excluded.map(replicaId));
               const request = { excluded, prefixes, promptTokens };
-              const chosen = chooser.choose(
+              const placement = chooser.choose(
                 request,
                 now,
-                name => !each.closed.some(index => id(index) === name),
+                candidate => !operation.closed.some(index => replicaId(index) === candidate),
               );
-              expect(good.map(id)).toEqual(
-                good.length === 0 ? [] : expect.arrayContaining([chosen?.replica]),
+              expect(eligible.map(replicaId)).toEqual(
+                eligible.length === 0 ? [] : expect.arrayContaining([placement?.replica]),
               );
-              expect(chosen === undefined).toBe(good.length === 0);
+              expect(placement === undefined).toBe(eligible.length === 0);
               break;
             }
             case 'send':
-              chooser.noteDispatch(id(each.replica), chainOf(each.program, each.turns), now);
-              sent[each.replica]!++;
-              for (const { digest } of chainOf(each.program, each.turns)) {
-                remember(held, each.replica, digest);
+              chooser.noteDispatch(
+                replicaId(operation.replica),
+                chainOf(operation.program, operation.turns),
+                now,
+              );
+              ownInFlight[operation.replica]!++;
+              for (const { digest } of chainOf(operation.program, operation.turns)) {
+                addCachedPrefix(cachedDigests, operation.replica, digest);
               }
               break;
             case 'evict': {
-              const digest = `${each.program}/${each.turn}` as PrefixDigest;
-              chooser.observeCacheChange({ change: 'evicted', digest, replica: id(each.replica) });
-              held[each.replica]!.delete(digest);
+              const digest = `${operation.program}/${operation.turn}` as PrefixDigest;
+              chooser.observeCacheChange({
+                change: 'evicted',
+                digest,
+                replica: replicaId(operation.replica),
+              });
+              cachedDigests[operation.replica]!.delete(digest);
               break;
             }
             case 'report':
-              chooser.observeLoad(id(each.replica), {
+              chooser.observeLoad(replicaId(operation.replica), {
                 measuredAt: now,
-                running: each.calls,
+                running: operation.calls,
                 waiting: 0,
               });
-              others[each.replica] = Math.max(0, each.calls - sent[each.replica]!);
+              othersInFlight[operation.replica] = Math.max(
+                0,
+                operation.calls - ownInFlight[operation.replica]!,
+              );
               break;
           }
         }
@@ -133,20 +151,23 @@
   });
 });
 
-const MOST_HOLDERS = 4;
-const recency = new WeakMap<Set<string>[], Map<string, number[]>>();
+const MAXIMUM_REPLICAS_PER_PREFIX = 4;
+const recentReplicasByDigest = new WeakMap<Set<string>[], Map<string, number[]>>();
 
-/** Keeps a prefix at the four replicas that got it last, as the record promises. */
-function remember(held: Set<string>[], replica: number, digest: string): void {
-  const byDigest = recency.get(held) ?? new Map<string, number[]>();
-  recency.set(held, byDigest);
-  const known = (byDigest.get(digest) ?? []).filter(
-    index => index !== replica && held[index]!.has(digest),
+/**
+ * Records a prefix at a replica and keeps it only at the four replicas that got it last, as the
+ * index does.
+ */
+function addCachedPrefix(cachedDigests: Set<string>[], replica: number, digest: string): void {
+  const byDigest = recentReplicasByDigest.get(cachedDigests) ?? new Map<string, number[]>();
+  recentReplicasByDigest.set(cachedDigests, byDigest);
+  const recentReplicas = (byDigest.get(digest) ?? []).filter(
+    index => index !== replica && cachedDigests[index]!.has(digest),
   );
-  known.push(replica);
-  held[replica]!.add(digest);
-  if (known.length > MOST_HOLDERS) {
-    held[known.shift()!]!.delete(digest);
+  recentReplicas.push(replica);
+  cachedDigests[replica]!.add(digest);
+  if (recentReplicas.length > MAXIMUM_REPLICAS_PER_PREFIX) {
+    cachedDigests[recentReplicas.shift()!]!.delete(digest);
   }
-  byDigest.set(digest, known);
+  byDigest.set(digest, recentReplicas);
 }
--- a/packages/scheduling/tests/queueDifferential.test.ts
+++ b/packages/scheduling/tests/queueDifferential.test.ts
@@ -9,18 +9,18 @@
 import fc from 'fast-check';
 import { describe, expect, test } from 'vitest';
 
-import { canRunAll, queueItem } from './items.js';
+import { canRunAll, createQueueItem } from './queueItems.js';
 
 const SEED = 5_001;
 const WORKSPACES = 5;
-const MAX_LEAD = 5_000;
-const ITEMS_LOOKED_AT = 4;
+const MAXIMUM_LEAD_TOKENS = 5_000;
+const ITEMS_CHECKED_PER_WORKSPACE = 4;
 const weights = [1, 2, 0.5, 1, 4];
 const weightOf = (workspace: WorkspaceName): number => weights[Number(workspace.split('-')[1])]!;
 const order = new AttainedServiceOrder();
 
-/** The queue in its plainest form: lists that are searched from end to end. */
-class PlainQueue {
+/** Reference implementation of the queue: a list that is searched linearly. */
+class ReferenceQueue {
   public readonly waiting: { readonly item: QueueItem; readonly key: number }[] = [];
   private readonly tags = new Map<WorkspaceName, number>();
   private virtualTime = 0;
@@ -32,22 +32,22 @@
     this.waiting.push({ item, key: order.keyOf(item, now) });
   }
 
-  /** Every item that a correct queue may pop next. */
+  /** Returns every item that a correct queue may pop next. */
   public candidates(canRun: (item: QueueItem) => boolean): readonly QueueItem[] {
-    const firsts = [...new Set(this.waiting.map(({ item }) => item.workspace))]
-      .map(workspace => this.itemsOf(workspace).slice(0, ITEMS_LOOKED_AT).find(canRun))
+    const firstRunnableItems = [...new Set(this.waiting.map(({ item }) => item.workspace))]
+      .map(workspace => this.itemsOf(workspace).slice(0, ITEMS_CHECKED_PER_WORKSPACE).find(canRun))
       .filter(item => item !== undefined);
-    const least = Math.min(...firsts.map(item => this.tagOf(item.workspace)));
-    return firsts.filter(item => this.tagOf(item.workspace) === least);
+    const lowestTag = Math.min(...firstRunnableItems.map(item => this.tagOf(item.workspace)));
+    return firstRunnableItems.filter(item => this.tagOf(item.workspace) === lowestTag);
   }
 
-  public take(item: QueueItem): void {
-    this.drop(item);
+  public dequeue(item: QueueItem): void {
+    this.remove(item);
     this.virtualTime = Math.max(this.virtualTime, this.tagOf(item.workspace));
     this.charge(item.workspace, item.estimatedTokens);
   }
 
-  public drop(item: QueueItem): void {
+  public remove(item: QueueItem): void {
     this.waiting.splice(
       this.waiting.findIndex(entry => entry.item === item),
       1,
@@ -61,8 +61,11 @@
       this.tags.set(workspace, tag + tokens / weight);
       return;
     }
-    const wanted = Math.max(tag, this.virtualTime) + tokens / weight;
-    this.tags.set(workspace, Math.min(wanted, Math.max(tag, this.virtualTime + MAX_LEAD / weight)));
+    const uncappedTag = Math.max(tag, this.virtualTime) + tokens / weight;
+    this.tags.set(
+      workspace,
+      Math.min(uncappedTag, Math.max(tag, this.virtualTime + MAXIMUM_LEAD_TOKENS / weight)),
+    );
   }
 
   private tagOf(workspace: WorkspaceName): number {
@@ -77,7 +80,7 @@
   }
 }
 
-const step = fc.oneof(
+const operationArbitrary = fc.oneof(
   fc.record({
     attained: fc.integer({ max: 50_000, min: 0 }),
     kind: fc.constant('push' as const),
@@ -94,75 +97,76 @@
   }),
 );
 
-describe('FairWorkQueue against a plain version', () => {
-  test('pops what the plain version allows, through any history', () => {
+describe('FairWorkQueue compared with a reference implementation', () => {
+  test('pops an item that the reference allows, after any sequence of operations', () => {
     fc.assert(
-      fc.property(fc.array(step, { maxLength: 120, minLength: 20 }), steps => {
+      fc.property(fc.array(operationArbitrary, { maxLength: 120, minLength: 20 }), operations => {
         const queue = new FairWorkQueue({
           maxItems: 1_000,
           maxItemsPerWorkspace: 1_000,
-          maxLeadTokens: MAX_LEAD,
+          maxLeadTokens: MAXIMUM_LEAD_TOKENS,
           weightOf,
         });
-        const plain = new PlainQueue();
+        const reference = new ReferenceQueue();
         const popped: QueueItem[] = [];
-        for (const [index, each] of steps.entries()) {
+        for (const [index, operation] of operations.entries()) {
           const now = index * 100;
-          switch (each.kind) {
+          switch (operation.kind) {
             case 'push': {
-              const item = queueItem(index, each.workspace, {
-                attainedTokens: each.attained,
-                estimatedTokens: each.tokens,
+              const item = createQueueItem(index, operation.workspace, {
+                attainedTokens: operation.attained,
+                estimatedTokens: operation.tokens,
               });
               expect(queue.push(item, now)).toBe('accepted');
-              plain.push(item, now);
+              reference.push(item, now);
               break;
             }
             case 'pop': {
               const canRun = (item: QueueItem): boolean =>
-                Number(item.id.split('-')[1]) % 2 !== each.parity;
-              const candidates = plain.candidates(canRun);
+                Number(item.id.split('-')[1]) % 2 !== operation.parity;
+              const candidates = reference.candidates(canRun);
               const item = queue.pop(now, canRun);
               if (item === undefined) {
                 expect(candidates).toEqual([]);
                 break;
               }
               expect(candidates).toContain(item);
-              plain.take(item);
+              reference.dequeue(item);
               popped.push(item);
               break;
             }
             case 'remove': {
-              const item = plain.waiting[each.pick % Math.max(1, plain.waiting.length)]?.item;
+              const item =
+                reference.waiting[operation.pick % Math.max(1, reference.waiting.length)]?.item;
               if (item !== undefined) {
                 expect(queue.remove(item.id)).toBe(item);
-                plain.drop(item);
+                reference.remove(item);
               }
               break;
             }
             case 'settle': {
               const item = popped.pop();
               if (item !== undefined) {
-                queue.settle(item.id, each.tokens);
-                plain.charge(item.workspace, each.tokens - item.estimatedTokens);
+                queue.settle(item.id, operation.tokens);
+                reference.charge(item.workspace, operation.tokens - item.estimatedTokens);
               }
               break;
             }
             case 'remote': {
-              const workspace = `workspace-${each.workspace}` as WorkspaceName;
-              queue.observeRemoteUse(workspace, each.tokens);
-              plain.charge(workspace, each.tokens);
+              const workspace = `workspace-${operation.workspace}` as WorkspaceName;
+              queue.observeRemoteUse(workspace, operation.tokens);
+              reference.charge(workspace, operation.tokens);
               break;
             }
           }
-          expect(queue.size).toBe(plain.waiting.length);
+          expect(queue.size).toBe(reference.waiting.length);
         }
       }),
       { numRuns: 300, seed: SEED },
     );
   });
 
-  test('workspaces that always wait get service by weight within one item of the largest size', () => {
+  test('workspaces with items always waiting are served by weight to within two of the largest items', () => {
     const tokens = fc.array(fc.integer({ max: 2_000, min: 1 }), { maxLength: 400, minLength: 200 });
     fc.assert(
       fc.property(tokens, sizes => {
@@ -174,7 +178,7 @@
         const served = weights.map(() => 0);
         const pushFor = (workspace: number, index: number): void => {
           const estimatedTokens = sizes[index % sizes.length]!;
-          queue.push(queueItem(nextId++, workspace, { estimatedTokens }), 0);
+          queue.push(createQueueItem(nextId++, workspace, { estimatedTokens }), 0);
         };
         let nextId = 0;
         for (let index = 0; index < 2 * WORKSPACES; index++) {
@@ -193,7 +197,7 @@
     );
   });
 
-  test('no item starves while shorter programs keep coming, and memory stays bounded', () => {
+  test('no item starves while programs with less attained service keep arriving, and memory stays bounded', () => {
     const queue = new FairWorkQueue({
       maxItems: 50,
       maxItemsPerWorkspace: 50,
@@ -203,11 +207,11 @@
       }),
       weightOf,
     });
-    queue.push(queueItem(0, 0, { attainedTokens: 1e9 }), 0);
+    queue.push(createQueueItem(0, 0, { attainedTokens: 1e9 }), 0);
     let poppedAt: number | undefined;
     for (let now = 10; now < 100_000 && poppedAt === undefined; now += 10) {
-      queue.push(queueItem(now, 0), now);
-      queue.push(queueItem(now + 1, 0), now);
+      queue.push(createQueueItem(now, 0), now);
+      queue.push(createQueueItem(now + 1, 0), now);
       poppedAt = queue.pop(now, canRunAll)?.id === 'work-0' ? now : undefined;
       expect(queue.size).toBeLessThanOrEqual(50);
     }
--- a/packages/scheduling/tests/items.ts
+++ b/packages/scheduling/tests/queueItems.ts
@@ -1,8 +1,8 @@
 import type { ProgramId, WorkspaceName } from '@zincring/core';
 import type { QueueItem, WorkId } from '@zincring/scheduling';
 
-/** Builds a queue item; numbers stand for names. */
-export function queueItem(
+/** Creates a queue item; the names of its program and workspace are made from the numbers. */
+export function createQueueItem(
   id: number,
   workspace: number,
   options: Partial<Pick<QueueItem, 'attainedTokens' | 'deadline' | 'estimatedTokens'>> = {},
@@ -18,5 +18,5 @@
   };
 }
 
-/** A predicate under which everything can run. */
+/** Predicate for which every item can run. */
 export const canRunAll = (): boolean => true;
--- a/packages/scheduling/tests/serviceScheduler.test.ts
+++ b/packages/scheduling/tests/serviceScheduler.test.ts
@@ -9,12 +9,12 @@
 } from '@zincring/scheduling';
 import { describe, expect, test } from 'vitest';
 
-import { queueItem } from './items.js';
+import { createQueueItem } from './queueItems.js';
 
 const zone = 'nelson' as AvailabilityZone;
-const id = (index: number): UpstreamId => `replica-${index}` as UpstreamId;
+const replicaId = (index: number): UpstreamId => `replica-${index}` as UpstreamId;
 
-function schedulerOf(replicas: number, maxCalls = 1): WindowedServiceScheduler<ScheduledItem> {
+function createScheduler(replicas: number, maxCalls = 1): WindowedServiceScheduler<ScheduledItem> {
   const scheduler = new WindowedServiceScheduler<ScheduledItem>({
     belowShareOverflow: 1,
     chooser: new CostReplicaChooser({
@@ -32,13 +32,21 @@
     suspicionMilliseconds: 2_000,
     window: { callMilliseconds: 1_000, instances: 1, maxCalls, targetWaiting: 1 },
   });
-  scheduler.update(Array.from({ length: replicas }, (_, index) => ({ id: id(index), zone })));
+  scheduler.update(
+    Array.from({ length: replicas }, (_, index) => ({ id: replicaId(index), zone })),
+  );
   return scheduler;
 }
 
 function scheduledItem(index: number, workspace: number): ScheduledItem {
   const excluded = new Set<UpstreamId>();
-  return { ...queueItem(index, workspace), enqueuedAt: 0, excluded, prefixes: [], promptTokens: 1 };
+  return {
+    ...createQueueItem(index, workspace),
+    enqueuedAt: 0,
+    excluded,
+    prefixes: [],
+    promptTokens: 1,
+  };
 }
 
 function sendAll(scheduler: WindowedServiceScheduler<ScheduledItem>, now: number): string[] {
@@ -50,8 +58,8 @@
 }
 
 describe('WindowedServiceScheduler', () => {
-  test('work beyond the windows waits, can be cancelled, and goes when a call ends', () => {
-    const scheduler = schedulerOf(2);
+  test('work beyond the windows waits, can be cancelled, and is sent when a call ends', () => {
+    const scheduler = createScheduler(2);
     for (let index = 0; index < 5; index++) {
       scheduler.submit(scheduledItem(index, 0), 0);
     }
@@ -64,13 +72,13 @@
     expect(scheduler.inFlight).toBe(sent.length);
   });
 
-  test('a workspace below its share goes beyond the window, first in line at the engine', () => {
-    const scheduler = schedulerOf(1);
+  test('a workspace below its share may exceed the window and gets the highest priority at the engine', () => {
+    const scheduler = createScheduler(1);
     for (let index = 0; index < 5; index++) {
       scheduler.submit(scheduledItem(index, 0), 0);
     }
-    const ofTheLargest = sendAll(scheduler, 0);
-    scheduler.noteEnd({ end: 'succeeded', id: ofTheLargest[0] as WorkId, usedTokens: 900 }, 900);
+    const firstSentIds = sendAll(scheduler, 0);
+    scheduler.noteEnd({ end: 'succeeded', id: firstSentIds[0] as WorkId, usedTokens: 900 }, 900);
     sendAll(scheduler, 900);
     scheduler.submit(scheduledItem(9, 1), 1_000);
     const dispatch = scheduler.next(1_000);
@@ -79,8 +87,8 @@
     expect(scheduler.next(1_000)).toBeUndefined();
   });
 
-  test('a failed replica gets nothing until it is trusted again, and the wait has an end', () => {
-    const scheduler = schedulerOf(1);
+  test('a failed replica gets no work during the suspicion period, and the scheduler reports when to try again', () => {
+    const scheduler = createScheduler(1);
     scheduler.submit(scheduledItem(0, 0), 0);
     sendAll(scheduler, 0);
     scheduler.noteEnd({ end: 'failed', id: 'work-0' as WorkId, usedTokens: 0 }, 100);
@@ -96,18 +104,18 @@
 });
 
 describe('WorkspaceUse', () => {
-  test('counts what others serve once, though messages are lost, doubled or late', () => {
+  test('counts tokens served by other instances once, even if messages are lost, duplicated or reordered', () => {
     let counted = 0;
-    const here = new WorkspaceUse((_, tokens) => {
+    const localUse = new WorkspaceUse((_, tokens) => {
       counted += tokens;
     });
-    const there = new WorkspaceUse(() => undefined);
-    const told = [100, 50, 25, 10].map(tokens => {
-      there.add('w' as WorkspaceName, tokens);
-      return there.tell(10);
+    const remoteUse = new WorkspaceUse(() => undefined);
+    const messages = [100, 50, 25, 10].map(tokens => {
+      remoteUse.add('w' as WorkspaceName, tokens);
+      return remoteUse.tell(10);
     });
     for (const index of [0, 2, 2, 1, 3]) {
-      here.hear('there-1' as never, told[index]!);
+      localUse.hear('there-1' as never, messages[index]!);
     }
     expect(counted).toBe(50 + 25 + 10);
   });
--- a/packages/scheduling/tests/windowsAndRetries.test.ts
+++ b/packages/scheduling/tests/windowsAndRetries.test.ts
@@ -13,18 +13,18 @@
 const windowOptions = { callMilliseconds: 1_000, instances: 13, maxCalls: 8, targetWaiting: 1 };
 
 describe('ConcurrencyWindow', () => {
-  test('a window below one still sends, paced, and never starves', () => {
+  test('a window below one sends at a reduced rate and never starves', () => {
     const window = new ConcurrencyWindow(windowOptions);
     let dispatched = 0;
     let endsAt = Infinity;
     for (let now = 0; now < 300_000; now += 100) {
       window.observeWaiting(50, now);
       if (now >= endsAt) {
-        window.noteSuccess(1_000, now);
+        window.recordSuccess(1_000, now);
         endsAt = Infinity;
       }
-      if (window.hasRoom(now)) {
-        window.noteDispatch();
+      if (window.hasCapacity(now)) {
+        window.recordDispatch();
         endsAt = now + 1_000;
         dispatched++;
       }
@@ -33,64 +33,64 @@
     expect(dispatched).toBeGreaterThanOrEqual(300_000 / 6_100 - 1);
   });
 
-  test('grows to the rule and no further without congestion, and shrinks after failures', () => {
+  test('grows to the maximum of the rule without congestion, and shrinks after failures', () => {
     const window = new ConcurrencyWindow(windowOptions);
     for (let now = 0; now < 500_000; now += 1_000) {
-      while (window.hasRoom(now)) {
-        window.noteDispatch();
+      while (window.hasCapacity(now)) {
+        window.recordDispatch();
       }
       while (window.used > 0) {
-        window.noteSuccess(1_000, now + 900);
+        window.recordSuccess(1_000, now + 900);
       }
     }
     expect(window.size).toBe(8);
-    window.noteDispatch();
-    window.noteFailure(600_000);
+    window.recordDispatch();
+    window.recordFailure(600_000);
     expect(window.size).toBe(4);
   });
 });
 
-describe('ConcurrencyWindow, thirteen instances before eight places', () => {
-  test('every instance gets places, and the places are used', () => {
-    const places = 8;
+describe('ConcurrencyWindow of thirteen instances that share eight slots', () => {
+  test('every instance gets slots, and the slots stay in use', () => {
+    const slots = 8;
     const callMilliseconds = 1_000;
     const windows = Array.from({ length: 13 }, () => new ConcurrencyWindow(windowOptions));
     const served = windows.map(() => 0);
     const waiting: number[] = [];
     const running: { endsAt: number; instance: number; sentAt: number }[] = [];
-    const sentAt = windows.map(() => [] as number[]);
-    let reported = 0;
+    const dispatchTimes = windows.map(() => [] as number[]);
+    let reportedWaiting = 0;
     for (let now = 0; now < 600_000; now += 50) {
       for (const call of running.filter(({ endsAt }) => endsAt <= now)) {
         running.splice(running.indexOf(call), 1);
         served[call.instance]!++;
-        windows[call.instance]!.noteSuccess(now - call.sentAt, now);
+        windows[call.instance]!.recordSuccess(now - call.sentAt, now);
       }
       for (const [instance, window] of windows.entries()) {
         if (now % 1_000 === 0) {
-          window.observeWaiting(reported, now);
+          window.observeWaiting(reportedWaiting, now);
         }
-        while (window.hasRoom(now)) {
-          window.noteDispatch();
+        while (window.hasCapacity(now)) {
+          window.recordDispatch();
           waiting.push(instance);
-          sentAt[instance]!.push(now);
+          dispatchTimes[instance]!.push(now);
         }
       }
-      while (running.length < places && waiting.length > 0) {
+      while (running.length < slots && waiting.length > 0) {
         const instance = waiting.shift()!;
-        const sent = sentAt[instance]!.shift()!;
-        running.push({ endsAt: now + callMilliseconds, instance, sentAt: sent });
+        const dispatchedAt = dispatchTimes[instance]!.shift()!;
+        running.push({ endsAt: now + callMilliseconds, instance, sentAt: dispatchedAt });
       }
-      reported = now % 1_000 === 0 ? waiting.length : reported;
+      reportedWaiting = now % 1_000 === 0 ? waiting.length : reportedWaiting;
     }
     const total = served.reduce((sum, count) => sum + count, 0);
     expect(Math.min(...served)).toBeGreaterThan(total / windows.length / 2);
-    expect(total).toBeGreaterThan((600_000 / callMilliseconds) * places * 0.8);
+    expect(total).toBeGreaterThan((600_000 / callMilliseconds) * slots * 0.8);
   });
 });
 
 describe('RetryBudget', () => {
-  test('retries stay within the share of first attempts and the reserve', () => {
+  test('retries stay within the share of first attempts plus the reserve', () => {
     const budget = new RetryBudget({
       instances: 13,
       maxSaved: 100,
@@ -109,32 +109,34 @@
 
 describe('Quarantine', () => {
   const body = 'body' as BodyDigest;
-  const death = (upstream: string, ageMilliseconds = 0, digest = body) => ({
+  const createCrash = (upstream: string, ageMilliseconds = 0, digest = body) => ({
     ageMilliseconds,
     body: digest,
     death: upstream as DeathId,
     upstream: upstream as UpstreamId,
   });
 
-  test('refuses a body after two upstreams, one seen elsewhere, for a time', () => {
-    const [here, there] = [new Quarantine(), new Quarantine()];
-    there.noteDeath(death('a'), 5_000);
-    here.noteDeath(death('b'), 100);
-    here.noteDeath(death('b'), 200);
-    expect(here.refusedUntil(body, 300)).toBeUndefined();
-    for (const told of there.recentDeaths(5_100, 10)) {
-      here.noteDeath(told, 300);
+  test('refuses a body for a limited time after two crashes, one of them observed by another instance', () => {
+    const [localQuarantine, remoteQuarantine] = [new Quarantine(), new Quarantine()];
+    remoteQuarantine.noteDeath(createCrash('a'), 5_000);
+    localQuarantine.noteDeath(createCrash('b'), 100);
+    localQuarantine.noteDeath(createCrash('b'), 200);
+    expect(localQuarantine.refusedUntil(body, 300)).toBeUndefined();
+    for (const crash of remoteQuarantine.recentDeaths(5_100, 10)) {
+      localQuarantine.noteDeath(crash, 300);
     }
-    expect(here.refusedUntil(body, 300)).toBe(200 + defaultQuarantineOptions.durationMilliseconds);
-    expect(here.refusedUntil(body, 600_200)).toBeUndefined();
+    expect(localQuarantine.refusedUntil(body, 300)).toBe(
+      200 + defaultQuarantineOptions.durationMilliseconds,
+    );
+    expect(localQuarantine.refusedUntil(body, 600_200)).toBeUndefined();
   });
 
-  test('deaths older than its time do not count, and memory is bounded', () => {
+  test('crashes older than the duration do not count, and memory is bounded', () => {
     const quarantine = new Quarantine({ ...defaultQuarantineOptions, maxBodies: 5 });
-    quarantine.noteDeath(death('a', 600_000), 600_000);
+    quarantine.noteDeath(createCrash('a', 600_000), 600_000);
     expect(quarantine.size).toBe(0);
     for (let index = 0; index < 100; index++) {
-      quarantine.noteDeath(death('a', 0, `body-${index}` as BodyDigest), index);
+      quarantine.noteDeath(createCrash('a', 0, `body-${index}` as BodyDigest), index);
     }
     expect(quarantine.size).toBe(5);
     expect(quarantine.deathsOf('body-99' as BodyDigest, 100)).toBe(1);
