--- a/packages/gateway/src/upstreams/crashRecord.ts
+++ b/packages/gateway/src/upstreams/crashRecord.ts
@@ -1,6 +1,6 @@
 import type { Logger, TimerService, UpstreamId } from '@zincring/core';
 import type { PartitionedTable } from '@zincring/platform';
-import type { BodyDigest, DeathId, UpstreamDeath } from '@zincring/scheduling';
+import type { BodyDigest, CrashId, UpstreamCrash } from '@zincring/scheduling';
 
 import { sha256Hex, ZincringError } from '@zincring/core';
 import { Quarantine } from '@zincring/scheduling';
@@ -62,7 +62,7 @@
   private readonly quarantine = new Quarantine({
     durationMilliseconds: REFUSED_MILLISECONDS,
     maxBodies: MAXIMUM_BODIES,
-    maxDeaths: MAXIMUM_CRASHES,
+    maxCrashes: MAXIMUM_CRASHES,
   });
   private readonly follower: TableFollower;
 
@@ -110,7 +110,7 @@
       return undefined;
     }
     const body = digestOf(request);
-    const crashes = this.quarantine.deathsOf(body, this.parts.timers.now());
+    const crashes = this.quarantine.countCrashes(body, this.parts.timers.now());
     if (crashes < MAXIMUM_CRASHES) {
       return undefined;
     }
@@ -127,7 +127,7 @@
     this.remember({
       ageMilliseconds: 0,
       body,
-      death: death as DeathId,
+      death: death as CrashId,
       upstream: entry.id,
     });
     const crash: StoredCrash = { at: this.parts.timers.wallClock(), body, upstream: entry.id };
@@ -154,13 +154,13 @@
     this.remember({
       ageMilliseconds: this.parts.timers.wallClock() - crash.at,
       body: crash.body as BodyDigest,
-      death: death as DeathId,
+      death: death as CrashId,
       upstream: crash.upstream as UpstreamId,
     });
   }
 
-  private remember(death: UpstreamDeath): void {
-    this.quarantine.noteDeath(death, this.parts.timers.now());
+  private remember(death: UpstreamCrash): void {
+    this.quarantine.recordCrash(death, this.parts.timers.now());
   }
 }
 
--- a/packages/instance/src/upstreams/poisonGuard.ts
+++ b/packages/instance/src/upstreams/poisonGuard.ts
@@ -1,5 +1,5 @@
 import type { InstanceId, TimerService, UpstreamId } from '@zincring/core';
-import type { BodyDigest, DeathId, UpstreamDeath } from '@zincring/scheduling';
+import type { BodyDigest, CrashId, UpstreamCrash } from '@zincring/scheduling';
 
 import { randomUUID } from 'node:crypto';
 
@@ -44,13 +44,13 @@
 
   /** Counts an upstream that died while it ran a request, and tells the other instances. */
   public async noteDeath(body: BodyDigest, upstream: UpstreamId): Promise<void> {
-    const death: UpstreamDeath = {
+    const death: UpstreamCrash = {
       ageMilliseconds: 0,
       body,
-      death: randomUUID() as string as DeathId,
+      death: randomUUID() as string as CrashId,
       upstream,
     };
-    this.quarantine.noteDeath(death, this.options.timers.now());
+    this.quarantine.recordCrash(death, this.options.timers.now());
     const spread = this.options.spreadNews().catch(() => undefined);
     const limit = new AbortController();
     await Promise.race([
@@ -62,14 +62,14 @@
 
   public tell(): string | undefined {
     const now = this.options.timers.now();
-    const deaths = this.quarantine.recentDeaths(now, DEATHS_PER_HEARTBEAT);
+    const deaths = this.quarantine.listRecentCrashes(now, DEATHS_PER_HEARTBEAT);
     return deaths.length === 0 ? undefined : JSON.stringify(deaths);
   }
 
   public hear(_instance: InstanceId, value: string): void {
     const now = this.options.timers.now();
-    for (const death of JSON.parse(value) as readonly UpstreamDeath[]) {
-      this.quarantine.noteDeath(death, now);
+    for (const death of JSON.parse(value) as readonly UpstreamCrash[]) {
+      this.quarantine.recordCrash(death, now);
     }
   }
 }
--- a/packages/instance/src/upstreams/queueingDispatcher.ts
+++ b/packages/instance/src/upstreams/queueingDispatcher.ts
@@ -58,7 +58,7 @@
   public async *dispatch(work: UpstreamWork): AsyncGenerator<UpstreamFrame> {
     const attempts = this.begin(work);
     const startedAt = this.options.timers.now();
-    this.options.retryBudgetOf(work.service).noteFirstAttempt();
+    this.options.retryBudgetOf(work.service).recordFirstAttempt();
     for (;;) {
       const end = yield* this.attempt(attempts);
       if (end.kind === 'answered') {
@@ -192,7 +192,7 @@
   }
 
   private mayRetry(service: ServiceName): boolean {
-    return this.options.retryBudgetOf(service).tryRetry(this.options.timers.now());
+    return this.options.retryBudgetOf(service).tryAcquireRetry(this.options.timers.now());
   }
 }
 
--- a/packages/instance/src/upstreams/serviceLane.ts
+++ b/packages/instance/src/upstreams/serviceLane.ts
@@ -93,7 +93,7 @@
 
   /** Gives a place back. */
   public release(place: LanePlace, end: PlaceEnd): void {
-    this.options.scheduler.noteEnd({ ...end, id: place.id }, this.options.timers.now());
+    this.options.scheduler.recordEnd({ ...end, id: place.id }, this.options.timers.now());
     this.pump();
   }
 
--- a/packages/instance/src/upstreams/workspaceUseGossip.ts
+++ b/packages/instance/src/upstreams/workspaceUseGossip.ts
@@ -46,7 +46,7 @@
   public tell(): string | undefined {
     const uses = [...this.uses].map(([service, use]) => ({
       service,
-      totals: use.tell(WORKSPACES_PER_HEARTBEAT),
+      totals: use.listRecentTotals(WORKSPACES_PER_HEARTBEAT),
     }));
     const told: ToldUses = { run: this.run, uses: uses.filter(each => each.totals.length > 0) };
     return told.uses.length === 0 ? undefined : JSON.stringify(told);
@@ -55,7 +55,7 @@
   public hear(_instance: InstanceId, value: string): void {
     const told = JSON.parse(value) as ToldUses;
     for (const { service, totals } of told.uses) {
-      this.useOf(service).hear(told.run, totals);
+      this.useOf(service).applyTotals(told.run, totals);
     }
   }
 
--- a/packages/scheduling/src/index.ts
+++ b/packages/scheduling/src/index.ts
@@ -35,9 +35,9 @@
 export { RetryBudget } from './retries/retryBudget.js';
 export type {
   BodyDigest,
-  DeathId,
+  CrashId,
   QuarantineOptions,
-  UpstreamDeath,
+  UpstreamCrash,
 } from './retries/quarantine.js';
 export { defaultQuarantineOptions, Quarantine } from './retries/quarantine.js';
 export { callCost } from './cost/callCost.js';
--- a/packages/scheduling/src/queue/programOrder.ts
+++ b/packages/scheduling/src/queue/programOrder.ts
@@ -18,7 +18,7 @@
   /** Age that offsets one token of attained service, in milliseconds. */
   readonly millisecondsPerToken: number;
   /** Maximum delay of a program through attained service, in milliseconds. */
-  readonly longestHoldMilliseconds: number;
+  readonly maxDelayMilliseconds: number;
   /** Time before its deadline at which an item counts as due, in milliseconds. */
   readonly deadlineSlackMilliseconds: number;
   /**
@@ -31,7 +31,7 @@
 /** Default options, for programs that run for minutes. */
 export const defaultAttainedServiceOptions: AttainedServiceOptions = {
   deadlineSlackMilliseconds: 2_000,
-  longestHoldMilliseconds: 120_000,
+  maxDelayMilliseconds: 120_000,
   maxPrograms: 65_536,
   millisecondsPerToken: 6,
 };
@@ -61,9 +61,12 @@
   }
 
   public keyOf(item: QueueItem, now: number): number {
-    const { deadlineSlackMilliseconds, longestHoldMilliseconds, millisecondsPerToken } =
-      this.options;
-    const delay = Math.min(longestHoldMilliseconds, item.attainedTokens * millisecondsPerToken);
+    const {
+      deadlineSlackMilliseconds,
+      maxDelayMilliseconds,
+      millisecondsPerToken,
+    } = this.options;
+    const delay = Math.min(maxDelayMilliseconds, item.attainedTokens * millisecondsPerToken);
     const dueAt = (item.deadline ?? Infinity) - deadlineSlackMilliseconds;
     return Math.min(this.getOrRecordStart(item.program, now) + delay, dueAt);
   }
--- a/packages/scheduling/src/queue/workspaceUse.ts
+++ b/packages/scheduling/src/queue/workspaceUse.ts
@@ -28,7 +28,7 @@
  * @example
  * const use = new WorkspaceUse((workspace, tokens) => scheduler.observeRemoteUse(workspace, tokens));
  * use.add(workspace, 1_200);
- * use.hear(otherIncarnation, totals);
+ * use.applyTotals(otherIncarnation, totals);
  */
 export class WorkspaceUse {
   /** Ordered from least to most recently served: a map keeps the order of insertion. */
@@ -48,7 +48,7 @@
   /**
    * Returns totals to send to the other instances: those of the workspaces served most recently.
    */
-  public tell(limit: number): readonly WorkspaceTotal[] {
+  public listRecentTotals(limit: number): readonly WorkspaceTotal[] {
     const totals = [...this.ownTotals].slice(-limit);
     return totals.map(([workspace, tokens]) => ({ tokens, workspace }));
   }
@@ -57,7 +57,7 @@
    * Applies totals of another instance. The first total received for a workspace is only a baseline
    * and counts no tokens, since the use may be old.
    */
-  public hear(incarnation: IncarnationId, totals: readonly WorkspaceTotal[]): void {
+  public applyTotals(incarnation: IncarnationId, totals: readonly WorkspaceTotal[]): void {
     const knownTotals = this.remoteTotals.get(incarnation) ?? new Map<WorkspaceName, number>();
     for (const { tokens, workspace } of totals) {
       const lastTotal = knownTotals.get(workspace) ?? tokens;
--- a/packages/scheduling/src/replicas/costReplicaChooser.ts
+++ b/packages/scheduling/src/replicas/costReplicaChooser.ts
@@ -130,21 +130,21 @@
     return eligible[Math.floor(this.options.random() * eligible.length)];
   }
 
-  public noteDispatch(replica: UpstreamId, prefixes: PrefixChain, now: number): void {
+  public recordDispatch(replica: UpstreamId, prefixes: PrefixChain, now: number): void {
     const known = this.replicas.get(replica);
-    known?.load.noteDispatch(now);
+    known?.load.recordDispatch(now);
     if (known !== undefined) {
       this.prefixIndex.add(known.replicaIncarnation, prefixes);
     }
   }
 
-  public noteOutcome(outcome: DispatchOutcome, now: number): void {
+  public recordOutcome(outcome: DispatchOutcome, now: number): void {
     const { durationMilliseconds, end, prefixes, replica } = outcome;
     const known = this.replicas.get(replica);
     if (known === undefined) {
       return;
     }
-    known.load.noteEnd(durationMilliseconds, now);
+    known.load.recordEnd(durationMilliseconds, now);
     switch (end) {
       case 'cancelled':
         return;
--- a/packages/scheduling/src/replicas/replicaChooser.ts
+++ b/packages/scheduling/src/replicas/replicaChooser.ts
@@ -74,9 +74,9 @@
     hasCapacity: CapacityPredicate,
   ): Placement | undefined;
   /** Records that a call was sent. */
-  noteDispatch(replica: UpstreamId, prefixes: PrefixChain, now: number): void;
+  recordDispatch(replica: UpstreamId, prefixes: PrefixChain, now: number): void;
   /** Records the end of a call, whatever its outcome. */
-  noteOutcome(outcome: DispatchOutcome, now: number): void;
+  recordOutcome(outcome: DispatchOutcome, now: number): void;
   /** Applies a load report. */
   observeLoad(replica: UpstreamId, report: LoadReport): void;
   /** Applies a cache event. */
--- a/packages/scheduling/src/replicas/replicaLoad.ts
+++ b/packages/scheduling/src/replicas/replicaLoad.ts
@@ -16,7 +16,7 @@
  *
  * @example
  * const load = new ReplicaLoad(2_000);
- * load.noteDispatch(timers.now());
+ * load.recordDispatch(timers.now());
  * load.predictedCalls; // 1
  */
 export class ReplicaLoad {
@@ -45,12 +45,12 @@
   }
 
   /** Records that a call was sent. */
-  public noteDispatch(now: number): void {
+  public recordDispatch(now: number): void {
     this.changeInFlight(1, now);
   }
 
   /** Records the end of a call. */
-  public noteEnd(durationMilliseconds: number, now: number): void {
+  public recordEnd(durationMilliseconds: number, now: number): void {
     this.changeInFlight(-1, now);
     this.callMilliseconds += SMOOTHING_FACTOR * (durationMilliseconds - this.callMilliseconds);
   }
--- a/packages/scheduling/src/retries/quarantine.ts
+++ b/packages/scheduling/src/retries/quarantine.ts
@@ -9,11 +9,11 @@
 /**
  * Identifier of one crash, unique across the fleet: an upstream may crash, restart and crash again.
  */
-export type DeathId = Brand<string, 'DeathId'>;
+export type CrashId = Brand<string, 'CrashId'>;
 
 /** Crash of an upstream while it processed a request; instances exchange these. */
-export interface UpstreamDeath {
-  readonly death: DeathId;
+export interface UpstreamCrash {
+  readonly death: CrashId;
   readonly body: BodyDigest;
   readonly upstream: UpstreamId;
   /** Time since the crash, in milliseconds. */
@@ -23,7 +23,7 @@
 /** Limits of a {@link Quarantine}. */
 export interface QuarantineOptions {
   /** Number of crashes at which a body is refused. */
-  readonly maxDeaths: number;
+  readonly maxCrashes: number;
   /** Time for which a body is refused and a crash counts, in milliseconds. */
   readonly durationMilliseconds: number;
   /** Maximum number of bodies kept. */
@@ -34,7 +34,7 @@
 export const defaultQuarantineOptions: QuarantineOptions = {
   durationMilliseconds: 600_000,
   maxBodies: 10_000,
-  maxDeaths: 2,
+  maxCrashes: 2,
 };
 
 interface RecordedCrash {
@@ -44,7 +44,7 @@
 }
 
 interface SuspectBody {
-  readonly crashes: Map<DeathId, RecordedCrash>;
+  readonly crashes: Map<CrashId, RecordedCrash>;
 }
 
 /**
@@ -52,7 +52,7 @@
  * instances, is treated as a poison request and refused for a limited time.
  *
  * @example
- * quarantine.noteDeath({ ageMilliseconds: 0, body, death, upstream }, timers.now());
+ * quarantine.recordCrash({ ageMilliseconds: 0, body, death, upstream }, timers.now());
  * quarantine.refusedUntil(body, timers.now());
  */
 export class Quarantine {
@@ -67,16 +67,16 @@
   }
 
   /** Records a crash that this or another instance observed; recording it again has no effect. */
-  public noteDeath(
-    { ageMilliseconds, body, death: crashId, upstream }: UpstreamDeath,
+  public recordCrash(
+    { ageMilliseconds, body, death: crashId, upstream }: UpstreamCrash,
     now: number,
   ): void {
     const crashedAt = now - Math.max(0, ageMilliseconds);
     if (now - crashedAt >= this.options.durationMilliseconds) {
       return;
     }
-    const suspect = this.bodies.get(body) ?? { crashes: new Map<DeathId, RecordedCrash>() };
-    if (suspect.crashes.has(crashId) || suspect.crashes.size >= this.options.maxDeaths) {
+    const suspect = this.bodies.get(body) ?? { crashes: new Map<CrashId, RecordedCrash>() };
+    if (suspect.crashes.has(crashId) || suspect.crashes.size >= this.options.maxCrashes) {
       return;
     }
     suspect.crashes.set(crashId, { crashedAt, upstream });
@@ -89,22 +89,22 @@
    * Returns the number of recorded crashes of upstreams that processed a body; 0 once they have
    * expired.
    */
-  public deathsOf(body: BodyDigest, now: number): number {
+  public countCrashes(body: BodyDigest, now: number): number {
     const suspect = this.bodies.get(body);
     return suspect === undefined || this.hasExpired(suspect, now) ? 0 : suspect.crashes.size;
   }
 
   /** Returns the time until which a body is refused; `undefined` if it may run. */
   public refusedUntil(body: BodyDigest, now: number): number | undefined {
-    if (this.deathsOf(body, now) < this.options.maxDeaths) {
+    if (this.countCrashes(body, now) < this.options.maxCrashes) {
       return undefined;
     }
     return this.lastCrashAt(this.bodies.get(body)) + this.options.durationMilliseconds;
   }
 
   /** Returns crashes to send to other instances, ordered by body, the most recent first. */
-  public recentDeaths(now: number, limit: number): readonly UpstreamDeath[] {
-    const recent: UpstreamDeath[] = [];
+  public listRecentCrashes(now: number, limit: number): readonly UpstreamCrash[] {
+    const recent: UpstreamCrash[] = [];
     for (const [body, suspect] of [...this.bodies].reverse()) {
       for (const [crashId, { crashedAt, upstream }] of suspect.crashes) {
         if (recent.length >= limit) {
--- a/packages/scheduling/src/retries/retryBudget.ts
+++ b/packages/scheduling/src/retries/retryBudget.ts
@@ -20,8 +20,8 @@
  * the share, the fleet does too, so the instances need no coordination.
  *
  * @example
- * budget.noteFirstAttempt();
- * if (budget.tryRetry(timers.now())) {
+ * budget.recordFirstAttempt();
+ * if (budget.tryAcquireRetry(timers.now())) {
  *   // send again
  * }
  */
@@ -38,19 +38,19 @@
 
   /**
    * Number of retries left, without the reserve that has accrued since the last call of
-   * {@link tryRetry}.
+   * {@link tryAcquireRetry}.
    */
   public get available(): number {
     return this.saved;
   }
 
   /** Records a first attempt. */
-  public noteFirstAttempt(): void {
+  public recordFirstAttempt(): void {
     this.saved = Math.min(this.options.maxSaved, this.saved + this.options.share);
   }
 
   /** Acquires one retry from the budget; returns whether one was available. */
-  public tryRetry(now: number): boolean {
+  public tryAcquireRetry(now: number): boolean {
     this.refill(now);
     if (this.saved < 1) {
       return false;
--- a/packages/scheduling/src/service/serviceScheduler.ts
+++ b/packages/scheduling/src/service/serviceScheduler.ts
@@ -62,7 +62,7 @@
   /** Removes waiting work. */
   cancel(id: WorkId): Item | undefined;
   /** Records the end of work that was sent. */
-  noteEnd(report: DispatchReport, now: number): void;
+  recordEnd(report: DispatchReport, now: number): void;
   /** Applies a load report. */
   observeLoad(replica: UpstreamId, report: LoadReport, now: number): void;
   /** Applies a cache event. */
@@ -184,7 +184,7 @@
       return undefined;
     }
     this.windows.get(placement.replica)?.recordDispatch();
-    this.options.chooser.noteDispatch(placement.replica, item.prefixes, now);
+    this.options.chooser.recordDispatch(placement.replica, item.prefixes, now);
     this.inFlightItems.set(item.id, { dispatchedAt: now, item, replica: placement.replica });
     return { item, placement, priority: enginePriority({ ...item, isBelowShare, now }) };
   }
@@ -200,7 +200,7 @@
     return this.options.queue.remove(id);
   }
 
-  public noteEnd(report: DispatchReport, now: number): void {
+  public recordEnd(report: DispatchReport, now: number): void {
     const { end, id, usedTokens } = report;
     const dispatched = this.inFlightItems.get(id);
     if (dispatched === undefined) {
@@ -212,7 +212,7 @@
     const durationMilliseconds = now - dispatchedAt;
     const prefixes = report.prefixes ?? item.prefixes;
     const outcome = { durationMilliseconds, end, prefixes, replica };
-    this.options.chooser.noteOutcome(outcome, now);
+    this.options.chooser.recordOutcome(outcome, now);
     this.recordWindowEnd(replica, end, durationMilliseconds, now);
     this.wakeTimes.add(this.windows.get(replica)?.nextCapacityAt(now) ?? now, now);
   }
--- a/packages/scheduling/tests/chooserDifferential.test.ts
+++ b/packages/scheduling/tests/chooserDifferential.test.ts
@@ -112,7 +112,7 @@
               break;
             }
             case 'send':
-              chooser.noteDispatch(
+              chooser.recordDispatch(
                 replicaId(operation.replica),
                 chainOf(operation.program, operation.turns),
                 now,
--- a/packages/scheduling/tests/costReplicaChooser.test.ts
+++ b/packages/scheduling/tests/costReplicaChooser.test.ts
@@ -31,7 +31,7 @@
 describe('CostReplicaChooser', () => {
   test.each([5, 500])('among %i replicas, chooses the one that holds the prefix', count => {
     const chooser = createChooser(count);
-    chooser.noteDispatch(replicaId(3), chain(10_000), 0);
+    chooser.recordDispatch(replicaId(3), chain(10_000), 0);
     expect(chooser.choose(request, 0, hasCapacity)).toMatchObject({
       expectedCachedTokens: 10_000,
       replica: replicaId(3),
@@ -40,7 +40,7 @@
 
   test('waits for the holder of a long prefix but computes a short prefix again elsewhere', () => {
     const chooser = createChooser(5);
-    chooser.noteDispatch(replicaId(3), chain(100_000), 0);
+    chooser.recordDispatch(replicaId(3), chain(100_000), 0);
     const long = { ...request, prefixes: chain(100_000), promptTokens: 101_000 };
     expect(chooser.choose(long, 0, replica => replica !== replicaId(3))).toBeUndefined();
     const short = { ...request, prefixes: chain(100), promptTokens: 200 };
@@ -49,7 +49,7 @@
 
   test('avoids the holder of a prefix if its queue costs more than computing the prefix again', () => {
     const chooser = createChooser(5);
-    chooser.noteDispatch(replicaId(3), chain(10_000), 0);
+    chooser.recordDispatch(replicaId(3), chain(10_000), 0);
     chooser.observeLoad(replicaId(3), { measuredAt: -1, running: 4, waiting: 8 });
     expect(chooser.choose(request, 0, hasCapacity)?.replica).not.toBe(replicaId(3));
   });
@@ -69,7 +69,7 @@
       const excluded = new Set([replicaId(0), replicaId(1)]);
       return chooser.choose({ ...request, excluded }, 0, hasCapacity)?.expectedCachedTokens;
     };
-    chooser.noteDispatch(replicaId(2), chain(10_000), 0);
+    chooser.recordDispatch(replicaId(2), chain(10_000), 0);
     expect(expectedCachedTokens()).toBe(10_000);
     chooser.observeCacheChange({
       change: 'evicted',
@@ -77,11 +77,11 @@
       replica: replicaId(2),
     });
     expect(expectedCachedTokens()).toBe(0);
-    chooser.noteDispatch(replicaId(2), chain(10_000), 0);
+    chooser.recordDispatch(replicaId(2), chain(10_000), 0);
     const outcome = { durationMilliseconds: 10, prefixes: chain(10_000), replica: replicaId(2) };
-    chooser.noteOutcome({ ...outcome, end: 'failed' }, 0);
+    chooser.recordOutcome({ ...outcome, end: 'failed' }, 0);
     expect(expectedCachedTokens()).toBe(0);
-    chooser.noteDispatch(replicaId(2), chain(10_000), 0);
+    chooser.recordDispatch(replicaId(2), chain(10_000), 0);
     chooser.update([]);
     chooser.update([{ id: replicaId(2), zone }]);
     expect(expectedCachedTokens()).toBe(0);
@@ -90,7 +90,7 @@
   test('counts calls of this instance that were sent after the time of a lagging report', () => {
     const chooser = createChooser(2);
     for (let sent = 0; sent < 3; sent++) {
-      chooser.noteDispatch(replicaId(0), [], 100);
+      chooser.recordDispatch(replicaId(0), [], 100);
     }
     chooser.observeLoad(replicaId(0), { measuredAt: 50, running: 0, waiting: 0 });
     expect(chooser.choose({ ...request, prefixes: [] }, 200, hasCapacity)?.replica).toBe(
@@ -101,7 +101,7 @@
   test('keeps a bounded number of prefixes', () => {
     const chooser = createChooser(3, 10);
     for (let tokens = 1; tokens < 100; tokens++) {
-      chooser.noteDispatch(replicaId(0), chain(tokens), 0);
+      chooser.recordDispatch(replicaId(0), chain(tokens), 0);
     }
     expect(chooser.prefixCount).toBe(10);
   });
--- a/packages/scheduling/tests/queueDifferential.test.ts
+++ b/packages/scheduling/tests/queueDifferential.test.ts
@@ -203,7 +203,7 @@
       maxItemsPerWorkspace: 50,
       order: new AttainedServiceOrder({
         ...defaultAttainedServiceOptions,
-        longestHoldMilliseconds: 20_000,
+        maxDelayMilliseconds: 20_000,
       }),
       weightOf,
     });
--- a/packages/scheduling/tests/serviceScheduler.test.ts
+++ b/packages/scheduling/tests/serviceScheduler.test.ts
@@ -67,7 +67,7 @@
     expect(sent.length).toBeLessThan(5);
     expect(scheduler.size).toBe(5 - sent.length);
     expect(scheduler.cancel('work-4' as WorkId)?.id).toBe('work-4');
-    scheduler.noteEnd({ end: 'succeeded', id: sent[0] as WorkId, usedTokens: 100 }, 1_000);
+    scheduler.recordEnd({ end: 'succeeded', id: sent[0] as WorkId, usedTokens: 100 }, 1_000);
     expect(sendAll(scheduler, 1_000)).toHaveLength(1);
     expect(scheduler.inFlight).toBe(sent.length);
   });
@@ -78,7 +78,7 @@
       scheduler.submit(scheduledItem(index, 0), 0);
     }
     const firstSentIds = sendAll(scheduler, 0);
-    scheduler.noteEnd({ end: 'succeeded', id: firstSentIds[0] as WorkId, usedTokens: 900 }, 900);
+    scheduler.recordEnd({ end: 'succeeded', id: firstSentIds[0] as WorkId, usedTokens: 900 }, 900);
     sendAll(scheduler, 900);
     scheduler.submit(scheduledItem(9, 1), 1_000);
     const dispatch = scheduler.next(1_000);
@@ -91,7 +91,7 @@
     const scheduler = createScheduler(1);
     scheduler.submit(scheduledItem(0, 0), 0);
     sendAll(scheduler, 0);
-    scheduler.noteEnd({ end: 'failed', id: 'work-0' as WorkId, usedTokens: 0 }, 100);
+    scheduler.recordEnd({ end: 'failed', id: 'work-0' as WorkId, usedTokens: 0 }, 100);
     scheduler.submit(scheduledItem(1, 0), 100);
     let now = 100;
     while (scheduler.next(now) === undefined) {
@@ -112,10 +112,10 @@
     const remoteUse = new WorkspaceUse(() => undefined);
     const messages = [100, 50, 25, 10].map(tokens => {
       remoteUse.add('w' as WorkspaceName, tokens);
-      return remoteUse.tell(10);
+      return remoteUse.listRecentTotals(10);
     });
     for (const index of [0, 2, 2, 1, 3]) {
-      localUse.hear('there-1' as never, messages[index]!);
+      localUse.applyTotals('there-1' as never, messages[index]!);
     }
     expect(counted).toBe(50 + 25 + 10);
   });
--- a/packages/scheduling/tests/windowsAndRetries.test.ts
+++ b/packages/scheduling/tests/windowsAndRetries.test.ts
@@ -1,5 +1,5 @@
 import type { UpstreamId } from '@zincring/core';
-import type { BodyDigest, DeathId } from '@zincring/scheduling';
+import type { BodyDigest, CrashId } from '@zincring/scheduling';
 
 import {
   ConcurrencyWindow,
@@ -99,8 +99,8 @@
     });
     let retries = 0;
     for (let now = 0; now < 60_000; now += 10) {
-      budget.noteFirstAttempt();
-      retries += budget.tryRetry(now) ? 1 : 0;
+      budget.recordFirstAttempt();
+      retries += budget.tryAcquireRetry(now) ? 1 : 0;
     }
     expect(retries).toBeLessThanOrEqual(6_000 * 0.1 + 60 + 1);
     expect(retries).toBeGreaterThanOrEqual(6_000 * 0.1);
@@ -112,18 +112,18 @@
   const createCrash = (upstream: string, ageMilliseconds = 0, digest = body) => ({
     ageMilliseconds,
     body: digest,
-    death: upstream as DeathId,
+    death: upstream as CrashId,
     upstream: upstream as UpstreamId,
   });
 
   test('refuses a body for a limited time after two crashes, one of them observed by another instance', () => {
     const [localQuarantine, remoteQuarantine] = [new Quarantine(), new Quarantine()];
-    remoteQuarantine.noteDeath(createCrash('a'), 5_000);
-    localQuarantine.noteDeath(createCrash('b'), 100);
-    localQuarantine.noteDeath(createCrash('b'), 200);
+    remoteQuarantine.recordCrash(createCrash('a'), 5_000);
+    localQuarantine.recordCrash(createCrash('b'), 100);
+    localQuarantine.recordCrash(createCrash('b'), 200);
     expect(localQuarantine.refusedUntil(body, 300)).toBeUndefined();
-    for (const crash of remoteQuarantine.recentDeaths(5_100, 10)) {
-      localQuarantine.noteDeath(crash, 300);
+    for (const crash of remoteQuarantine.listRecentCrashes(5_100, 10)) {
+      localQuarantine.recordCrash(crash, 300);
     }
     expect(localQuarantine.refusedUntil(body, 300)).toBe(
       200 + defaultQuarantineOptions.durationMilliseconds,
@@ -133,13 +133,13 @@
 
   test('crashes older than the duration do not count, and memory is bounded', () => {
     const quarantine = new Quarantine({ ...defaultQuarantineOptions, maxBodies: 5 });
-    quarantine.noteDeath(createCrash('a', 600_000), 600_000);
+    quarantine.recordCrash(createCrash('a', 600_000), 600_000);
     expect(quarantine.size).toBe(0);
     for (let index = 0; index < 100; index++) {
-      quarantine.noteDeath(createCrash('a', 0, `body-${index}` as BodyDigest), index);
+      quarantine.recordCrash(createCrash('a', 0, `body-${index}` as BodyDigest), index);
     }
     expect(quarantine.size).toBe(5);
-    expect(quarantine.deathsOf('body-99' as BodyDigest, 100)).toBe(1);
+    expect(quarantine.countCrashes('body-99' as BodyDigest, 100)).toBe(1);
   });
 });
 
--- a/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
@@ -40,7 +40,7 @@
   const heapBefore = heapInUse();
   const chooser = createChooser(replicas, programs);
   for (let program = 0; program < programs; program++) {
-    chooser.noteDispatch(replicaId(program % replicas), chainOf(program), 0);
+    chooser.recordDispatch(replicaId(program % replicas), chainOf(program), 0);
   }
   const keptBytes = heapInUse() - heapBefore;
   const requests = Array.from({ length: OPERATIONS }, (_, index) => requestOf(index % programs));
--- a/packages/stand-ins/src/benchmarks/gossipBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/gossipBenchmark.ts
@@ -29,7 +29,7 @@
     (_, index) => `workspace-${index}` as WorkspaceName,
   );
   const hear = (index: number): void => {
-    use.hear(
+    use.applyTotals(
       `instance-${index % size}` as IncarnationId,
       workspaces.map(workspace => ({ tokens: index, workspace })),
     );
--- a/packages/stand-ins/src/benchmarks/retryBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/retryBenchmark.ts
@@ -1,5 +1,5 @@
 import type { UpstreamId } from '@zincring/core';
-import type { BodyDigest, DeathId } from '@zincring/scheduling';
+import type { BodyDigest, CrashId } from '@zincring/scheduling';
 
 import { defaultQuarantineOptions, Quarantine, RetryBudget } from '@zincring/scheduling';
 
@@ -22,11 +22,11 @@
   const heapBefore = heapInUse();
   const quarantine = new Quarantine({ ...defaultQuarantineOptions, maxBodies: size });
   for (let index = 0; index < size; index++) {
-    quarantine.noteDeath(
+    quarantine.recordCrash(
       {
         ageMilliseconds: 0,
         body: `body-${index}` as BodyDigest,
-        death: `death-${index}` as DeathId,
+        death: `death-${index}` as CrashId,
         upstream: `replica-${index % 12}` as UpstreamId,
       },
       0,
@@ -48,8 +48,8 @@
     share: 0.1,
   });
   const cost = measureOperation(OPERATIONS, index => {
-    budget.noteFirstAttempt();
-    budget.tryRetry(index);
+    budget.recordFirstAttempt();
+    budget.tryAcquireRetry(index);
   });
   return {
     cost,
--- a/packages/stand-ins/src/benchmarks/schedulerBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/schedulerBenchmark.ts
@@ -22,7 +22,7 @@
         scheduler.nextWakeAt(index);
         const dispatch = scheduler.next(index);
         if (dispatch !== undefined) {
-          scheduler.noteEnd(
+          scheduler.recordEnd(
             { end: 'succeeded', id: dispatch.item.id, usedTokens: 1_000 },
             index + 1,
           );
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
@@ -233,12 +233,12 @@
     this.evictions = [];
     const told = this.instances.map(({ options, use }) => ({
       id: options.id,
-      totals: use.tell(TOLD_WORKSPACES),
+      totals: use.listRecentTotals(TOLD_WORKSPACES),
     }));
     this.events.after(GOSSIP_LAG_MILLISECONDS, () => {
       for (const { options, use } of this.instances) {
         for (const { id, totals } of told.filter(({ id }) => id !== options.id)) {
-          use.hear(id, totals);
+          use.applyTotals(id, totals);
         }
       }
     });
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedInstance.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedInstance.ts
@@ -49,7 +49,7 @@
   public submit(call: SimulatedCall): void {
     const { events, measurements, retryBudget, schedulers } = this.options;
     if (schedulers[call.service].submit(call, events.now) === 'accepted') {
-      retryBudget?.noteFirstAttempt();
+      retryBudget?.recordFirstAttempt();
       this.pump(call.service);
       return;
     }
@@ -124,7 +124,7 @@
   private finish(call: SimulatedCall, computedTokens: number): void {
     const { events, measurements, schedulers } = this.options;
     const usedTokens = callCost(computedTokens, call.outputTokens);
-    schedulers[call.service].noteEnd({ end: 'succeeded', id: call.id, usedTokens }, events.now);
+    schedulers[call.service].recordEnd({ end: 'succeeded', id: call.id, usedTokens }, events.now);
     if (call.service === 'model') {
       measurements.computedTokens += computedTokens;
       measurements.promptTokens += call.promptTokens;
@@ -138,9 +138,9 @@
   private fail(call: SimulatedCall, replica: UpstreamId, computedTokens: number): void {
     const { events, measurements, retryBudget, schedulers } = this.options;
     const report = { end: 'failed', id: call.id, usedTokens: computedTokens } as const;
-    schedulers[call.service].noteEnd(report, events.now);
+    schedulers[call.service].recordEnd(report, events.now);
     measurements.computedTokens += computedTokens;
-    if (retryBudget?.tryRetry(events.now) === false) {
+    if (retryBudget?.tryAcquireRetry(events.now) === false) {
       this.resendLater(call);
       return;
     }
--- a/packages/stand-ins/src/experiments/policy/naive/naiveScheduler.ts
+++ b/packages/stand-ins/src/experiments/policy/naive/naiveScheduler.ts
@@ -51,7 +51,7 @@
     return position < 0 ? undefined : this.waiting.splice(position, 1)[0];
   }
 
-  public noteEnd(): void {
+  public recordEnd(): void {
     // The naive version learns nothing.
   }
 
--- a/packages/stand-ins/src/experiments/policy/rivals/orders.ts
+++ b/packages/stand-ins/src/experiments/policy/rivals/orders.ts
@@ -37,7 +37,7 @@
 export class OldestProgramOrder implements ProgramOrder {
   private readonly order = new AttainedServiceOrder({
     deadlineSlackMilliseconds: 0,
-    longestHoldMilliseconds: 0,
+    maxDelayMilliseconds: 0,
     maxPrograms: MAX_PROGRAMS,
     millisecondsPerToken: 0,
   });
--- a/packages/stand-ins/src/experiments/policy/rivals/trackedChooser.ts
+++ b/packages/stand-ins/src/experiments/policy/rivals/trackedChooser.ts
@@ -48,12 +48,12 @@
       : { expectedCachedTokens: 0, expectedMilliseconds: 0, replica: replica.id };
   }
 
-  public noteDispatch(replica: UpstreamId, _prefixes: PrefixChain, now: number): void {
-    this.replicas.get(replica)?.load.noteDispatch(now);
+  public recordDispatch(replica: UpstreamId, _prefixes: PrefixChain, now: number): void {
+    this.replicas.get(replica)?.load.recordDispatch(now);
   }
 
-  public noteOutcome({ durationMilliseconds, replica }: DispatchOutcome, now: number): void {
-    this.replicas.get(replica)?.load.noteEnd(durationMilliseconds, now);
+  public recordOutcome({ durationMilliseconds, replica }: DispatchOutcome, now: number): void {
+    this.replicas.get(replica)?.load.recordEnd(durationMilliseconds, now);
   }
 
   public observeLoad(replica: UpstreamId, report: LoadReport): void {
