--- a/packages/scheduling/src/queue/programOrder.ts
+++ b/packages/scheduling/src/queue/programOrder.ts
@@ -61,11 +61,7 @@
   }
 
   public keyOf(item: QueueItem, now: number): number {
-    const {
-      deadlineSlackMilliseconds,
-      maxDelayMilliseconds,
-      millisecondsPerToken,
-    } = this.options;
+    const { deadlineSlackMilliseconds, maxDelayMilliseconds, millisecondsPerToken } = this.options;
     const delay = Math.min(maxDelayMilliseconds, item.attainedTokens * millisecondsPerToken);
     const dueAt = (item.deadline ?? Infinity) - deadlineSlackMilliseconds;
     return Math.min(this.getOrRecordStart(item.program, now) + delay, dueAt);
