--- a/packages/gateway/src/limits/workspaceCredit.ts
+++ b/packages/gateway/src/limits/workspaceCredit.ts
@@ -1,105 +1,108 @@
 import type { TimerService } from '@zincring/core';
 
 import type { Moment } from '../configuration/contactAge.js';
-import type { RateLimit } from './rateRow.js';
+import type { RateLimit } from './workspaceBucket.js';
 
 import { elapsedSince } from '../configuration/contactAge.js';
-import { mostOutstanding } from './rateRow.js';
+import { maximumOutstanding } from './workspaceBucket.js';
 
-/** How a wait for credit ended. */
-export type CreditAnswer = 'denied' | 'granted' | 'unknown';
+/** Outcome of a wait for credit; `unknown` when the store did not answer in time. */
+export type CreditOutcome = 'denied' | 'granted' | 'unknown';
 
-/** How long a workspace counts as using more than its rate, in milliseconds: about the time that a program takes. */
-const SCARCE_MILLISECONDS = 2_000;
+/** Time for which a workspace counts as over its rate after a grant found it so, in milliseconds: about the run time of a program. */
+const OVER_RATE_MILLISECONDS = 2_000;
 
-/** When a grant was asked for, and how long the store counts it. */
+/** Time at which a grant was requested, and time for which the store counts it, in milliseconds. */
 export interface GrantTimes {
   readonly sentAt: Moment;
   readonly storeValidMilliseconds: number;
 }
 
 interface CreditWaiter {
-  readonly answer: (answer: CreditAnswer) => void;
-  /** By the steady clock. */
-  readonly since: number;
+  readonly settle: (outcome: CreditOutcome) => void;
+  /** Start of the wait on the monotonic clock, in milliseconds. */
+  readonly waitingSince: number;
 }
 
-/** How long credit is good at its holder, in milliseconds, and how much longer the store counts it. */
-const VALIDITY = { margin: 1_400, rare: 2_000, steady: 4_000 };
-/** Time constant of the estimate of demand, in milliseconds: a few tool pauses of a program. */
-const DEMAND_MILLISECONDS = 3_000;
-/** Time for which credit is wished ahead, in seconds: some pauses between draws, within the time that credit is good. */
-const AHEAD_SECONDS = 2;
-/** Demand below which a draw ahead of it costs more calls than it saves, in requests a second. */
-const RARE_DEMAND = 0.4;
-/** Part of the wished credit below which more is drawn ahead of demand. */
-const LOW_SHARE = 0.25;
-/** Most credit that a draw for rare requests brings for the calls that a program makes next. */
-const LARGEST_BESIDE = 3;
-/** Part of what bucket and credits may stand for together that such credit may be. */
-const BESIDE_SHARE = 0.1;
-
-/** The credit that this instance holds of one workspace, and the demand that it sees. */
+/** Time for which a holder uses its credit, at low and at steady demand, and the margin by which the store counts it longer. */
+const CREDIT_VALIDITY_MILLISECONDS = { storeMargin: 1_400, lowDemand: 2_000, steadyDemand: 4_000 };
+/** Time constant of the demand estimate, in milliseconds: a few of the pauses in which a program runs its tools. */
+const DEMAND_TIME_CONSTANT_MILLISECONDS = 3_000;
+/** Seconds of demand for which credit is requested ahead: longer than the interval between draws, shorter than credit is valid. */
+const REQUEST_AHEAD_SECONDS = 2;
+/** Demand below which drawing credit ahead costs more store calls than it saves, in requests per second. */
+const LOW_DEMAND_PER_SECOND = 0.4;
+/** Share of the requested credit below which more is drawn ahead of demand. */
+const LOW_CREDIT_SHARE = 0.25;
+/** Maximum credit that a draw at low demand adds for the next calls of the same program, in requests. */
+const MAXIMUM_EXTRA_CREDIT = 3;
+/** Share of the maximum outstanding requests of a bucket that this extra credit may reach. */
+const EXTRA_CREDIT_SHARE = 0.1;
+
+/** Credit that this instance holds from one bucket, and the demand that it sees there. */
 export class WorkspaceCredit {
-  /** Credit at the last answer of the store. */
-  public lastHeld = 0;
-  private scarceAt = -Infinity;
-  /** Until when requests are refused without asking, by the steady clock. */
+  /** Credit after the last grant that the store answered. */
+  public confirmedCredit = 0;
+  private lastOverRateAt = -Infinity;
+  /** Time until which requests are denied without a call to the store, on the monotonic clock. */
   public deniedUntil = -Infinity;
   private unspentCredit = 0;
-  private grantedAt: Moment | undefined;
-  private validMilliseconds = VALIDITY.rare;
-  private demand = 0;
-  private demandAt: number;
+  private grantRequestedAt: Moment | undefined;
+  private validMilliseconds = CREDIT_VALIDITY_MILLISECONDS.lowDemand;
+  private demandPerSecond = 0;
+  private demandUpdatedAt: number;
   private waiters: CreditWaiter[] = [];
 
   public constructor(
     private readonly timers: TimerService,
     public limit: RateLimit,
   ) {
-    this.demandAt = timers.now();
+    this.demandUpdatedAt = timers.now();
   }
 
-  /** Credit that may be spent now. */
+  /** Credit that may be spent now, in requests. */
   public get unspent(): number {
     return this.isValid() ? this.unspentCredit : 0;
   }
 
-  /** Whether the workspace used more than its rate of late. */
-  public get isScarce(): boolean {
-    return this.timers.now() - this.scarceAt < SCARCE_MILLISECONDS;
+  /** Whether the workspace recently used more than its rate. */
+  public get isOverRate(): boolean {
+    return this.timers.now() - this.lastOverRateAt < OVER_RATE_MILLISECONDS;
   }
 
-  /** Requests that wait for credit. */
+  /** Number of requests that are waiting for credit. */
   public get waiting(): number {
     return this.waiters.length;
   }
 
-  /** Credit worth holding for requests to come. */
-  public get wished(): number {
-    const demand = this.currentDemand();
-    return demand < RARE_DEMAND ? this.beside() : Math.ceil(demand * AHEAD_SECONDS);
+  /** Credit to request ahead of demand, in requests. */
+  public get requestedAhead(): number {
+    const demandPerSecond = this.currentDemandPerSecond();
+    return demandPerSecond < LOW_DEMAND_PER_SECOND
+      ? this.extraCredit()
+      : Math.ceil(demandPerSecond * REQUEST_AHEAD_SECONDS);
   }
 
-  /** How long the store is to count a grant made now, in milliseconds; its holder counts less. */
+  /** Time for which the store counts a grant made now, in milliseconds; its holder uses it for a shorter time. */
   public get storeValidMilliseconds(): number {
-    return this.validityOfGrant() + VALIDITY.margin;
+    return this.nextGrantValidityMilliseconds() + CREDIT_VALIDITY_MILLISECONDS.storeMargin;
   }
 
-  /** Whether a top-up is due. */
+  /** Whether requests are waiting or the credit for steady demand runs low. */
   public get needsCredit(): boolean {
-    const isSteady = this.currentDemand() >= RARE_DEMAND;
-    return this.waiting > 0 || (isSteady && this.unspent < this.wished * LOW_SHARE);
+    const isSteady = this.currentDemandPerSecond() >= LOW_DEMAND_PER_SECOND;
+    return this.waiting > 0 || (isSteady && this.unspent < this.requestedAhead * LOW_CREDIT_SHARE);
   }
 
-  /** Counts a request in the estimate of demand. */
-  public noteDemand(): void {
-    this.demand = this.currentDemand() + 1_000 / DEMAND_MILLISECONDS;
-    this.demandAt = this.timers.now();
+  /** Counts a request in the demand estimate. */
+  public recordDemand(): void {
+    this.demandPerSecond =
+      this.currentDemandPerSecond() + 1_000 / DEMAND_TIME_CONSTANT_MILLISECONDS;
+    this.demandUpdatedAt = this.timers.now();
   }
 
-  /** Takes credit for one request if there is any. */
-  public take(): boolean {
+  /** Spends credit for one request and returns whether there was any. */
+  public tryAcquire(): boolean {
     if (this.unspent < 1) {
       return false;
     }
@@ -107,84 +110,86 @@
     return true;
   }
 
-  /** Puts back the credit of a request that did not run. */
-  public giveBack(): void {
+  /** Returns the credit of a request that did not run. */
+  public refund(): void {
     if (this.isValid()) {
       this.unspentCredit++;
     }
   }
 
-  /** How long the first of those who wait has waited, in milliseconds. */
-  public get longestWait(): number {
-    const [first] = this.waiters;
-    return first === undefined ? 0 : this.timers.now() - first.since;
+  /** Time for which the oldest waiter has waited, in milliseconds. */
+  public get longestWaitMilliseconds(): number {
+    const [firstWaiter] = this.waiters;
+    return firstWaiter === undefined ? 0 : this.timers.now() - firstWaiter.waitingSince;
   }
 
-  /** Calls the listener once credit has come or was denied, unless the returned function ends the wait. */
-  public wait(answer: (answer: CreditAnswer) => void): () => void {
-    const waiter = { answer, since: this.timers.now() };
+  /** Adds a waiter, which is called with the outcome unless the returned function removes it first. */
+  public addWaiter(settle: (outcome: CreditOutcome) => void): () => void {
+    const waiter = { settle, waitingSince: this.timers.now() };
     this.waiters.push(waiter);
     return () => {
       this.waiters = this.waiters.filter(each => each !== waiter);
     };
   }
 
-  /** Takes in whether the workspace uses more than its rate. */
-  public noteUse(isScarce: boolean): void {
-    if (isScarce) {
-      this.scarceAt = this.timers.now();
+  /** Records whether the workspace uses more than its rate. */
+  public recordRateUse(isOverRate: boolean): void {
+    if (isOverRate) {
+      this.lastOverRateAt = this.timers.now();
     }
   }
 
-  /** Takes in a grant; `spent` is what was spent since the request for it was made. */
-  public receive(
+  /** Applies a grant; `spent` is the credit spent since the grant was requested. */
+  public applyGrant(
     held: number,
     spent: number,
     { sentAt, storeValidMilliseconds }: GrantTimes,
   ): void {
-    this.validMilliseconds = storeValidMilliseconds - VALIDITY.margin;
-    this.lastHeld = held;
+    this.validMilliseconds = storeValidMilliseconds - CREDIT_VALIDITY_MILLISECONDS.storeMargin;
+    this.confirmedCredit = held;
     this.unspentCredit = Math.max(0, held - spent);
-    this.grantedAt = sentAt;
+    this.grantRequestedAt = sentAt;
   }
 
-  /** Serves those who wait, first come first served: as many as were granted at once, and more while there is credit. */
+  /** Admits waiters in order of arrival: `immediate` of them from the grant itself, then more while there is credit. */
   public serveWaiters(immediate: number): void {
     for (const waiter of this.waiters.splice(0, immediate)) {
-      waiter.answer('granted');
+      waiter.settle('granted');
     }
-    while (this.waiters.length > 0 && this.take()) {
-      this.waiters.shift()?.answer('granted');
+    while (this.waiters.length > 0 && this.tryAcquire()) {
+      this.waiters.shift()?.settle('granted');
     }
   }
 
-  /** Ends the wait of those who are left. */
-  public dismissWaiters(answer: CreditAnswer): void {
+  /** Ends the wait of all remaining waiters with the same outcome. */
+  public settleWaiters(outcome: CreditOutcome): void {
     const waiters = this.waiters;
     this.waiters = [];
     for (const waiter of waiters) {
-      waiter.answer(answer);
+      waiter.settle(outcome);
     }
   }
 
-  private validityOfGrant(): number {
-    return this.currentDemand() < RARE_DEMAND ? VALIDITY.rare : VALIDITY.steady;
+  private nextGrantValidityMilliseconds(): number {
+    return this.currentDemandPerSecond() < LOW_DEMAND_PER_SECOND
+      ? CREDIT_VALIDITY_MILLISECONDS.lowDemand
+      : CREDIT_VALIDITY_MILLISECONDS.steadyDemand;
   }
 
-  private beside(): number {
-    const share = Math.round(mostOutstanding(this.limit) * BESIDE_SHARE);
-    return Math.max(1, Math.min(LARGEST_BESIDE, share));
+  private extraCredit(): number {
+    const share = Math.round(maximumOutstanding(this.limit) * EXTRA_CREDIT_SHARE);
+    return Math.max(1, Math.min(MAXIMUM_EXTRA_CREDIT, share));
   }
 
-  private currentDemand(): number {
-    const elapsed = this.timers.now() - this.demandAt;
-    return this.demand * Math.exp(-elapsed / DEMAND_MILLISECONDS);
+  private currentDemandPerSecond(): number {
+    const elapsed = this.timers.now() - this.demandUpdatedAt;
+    return this.demandPerSecond * Math.exp(-elapsed / DEMAND_TIME_CONSTANT_MILLISECONDS);
   }
 
   private isValid(): boolean {
     return (
-      this.grantedAt !== undefined &&
-      elapsedSince(this.timers, this.grantedAt) < this.validMilliseconds
+      this.grantRequestedAt !== undefined &&
+      elapsedSince(this.timers, this.grantRequestedAt) < this.validMilliseconds
     );
   }
 }
--- a/packages/gateway/src/limits/workspaceRates.ts
+++ b/packages/gateway/src/limits/workspaceRates.ts
@@ -6,252 +6,269 @@
 import type { GatewayWorkspace } from '../configuration/gatewayConfiguration.js';
 import type { WatchedTable } from '../store/watchedTable.js';
 import type { KnownRow } from '../store/editRow.js';
-import type { CreditAnswer } from './workspaceCredit.js';
-import type { CreditGrant, RateLimit, WorkspaceBucket } from './rateRow.js';
+import type { CreditOutcome } from './workspaceCredit.js';
+import type { CreditGrant, RateLimit, WorkspaceBucket } from './workspaceBucket.js';
 
 import { elapsedSince, momentOf } from '../configuration/contactAge.js';
 import { absentRow, editRow } from '../store/editRow.js';
-import { grantCredit, IMMEDIATE_MILLISECONDS } from './rateRow.js';
-import { ProgramSize } from './programSize.js';
+import { grantCredit, IMMEDIATE_GRANT_MILLISECONDS } from './workspaceBucket.js';
+import { ProgramSizeEstimator } from './programSizeEstimator.js';
 import { WorkspaceCredit } from './workspaceCredit.js';
 
-/** The place of an admitted request within its workspace's rate. */
+/** Admission of a request within the rate of its workspace. */
 export interface RateAdmission {
-  /** Frees the place of a request that did not run. */
+  /** Refunds the credit of a request that did not run. */
   giveBack(): void;
 }
 
-/** What a {@link WorkspaceRates} works with. */
-export interface WorkspaceRatesParts {
+/** Dependencies of a {@link WorkspaceRates}. */
+export interface WorkspaceRatesDependencies {
   readonly table: WatchedTable;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly instance: InstanceId;
-  /** Names this run of the instance: credit of an earlier run may have been spent, so it lapses. */
+  /** Identifies this run of the instance: an earlier run may have spent its credit, which therefore lapses and is not reused. */
   readonly holder: string;
   readonly random: () => number;
 }
 
-/** One bucket in the store. */
-interface Bucket extends RateLimit {
+/** Rate limit of one bucket and the key of its row. */
+interface NamedRateLimit extends RateLimit {
   readonly name: string;
 }
 
-/** The draws on one bucket. */
-interface Draws {
+/** State of one bucket as this instance knows it. */
+interface BucketState {
   readonly credit: WorkspaceCredit;
   readonly address: RowAddress;
   row: KnownRow;
-  /** When the store last told the row, by the steady clock. */
-  knownAt: number;
-  isAsking: boolean;
-  /** When credit may be drawn ahead of demand again, by the steady clock. */
-  aheadAt: number;
+  /** Time at which the store last returned the row, on the monotonic clock. */
+  rowReadAt: number;
+  /** Whether a draw is in progress; there is at most one. */
+  isDrawing: boolean;
+  /** Time from which credit may be drawn ahead of demand again, on the monotonic clock. */
+  drawAheadAllowedAt: number;
 }
 
-/** Table of the buckets. */
+/** Table that stores the buckets. */
 export const RATE_TABLE = 'rates';
-/** Longest wait of a request for credit, in milliseconds: some answers of a slow store. */
-const WAIT_MILLISECONDS = 800;
-/** Longest wait for the rate to have room again, in milliseconds: a fraction of what callers allow for an answer. */
-const PATIENCE_MILLISECONDS = 600;
-/** Shortest pause before those who wait ask again, in milliseconds: instances that ask more often only hinder each other. */
-const ASK_AGAIN_MILLISECONDS = 120;
-/** Shortest and longest time for which an empty bucket is not asked again, in milliseconds. */
-const DENIED_MILLISECONDS = { longest: 1_000, shortest: 250 };
-/** Shortest pause between draws ahead of demand, in milliseconds: half of the time that they are meant to last. */
-const AHEAD_PAUSE_MILLISECONDS = 1_500;
-/** Time for which a row is likely still as the store told it, in milliseconds: several instances draw on it each second. */
-const RECENT_MILLISECONDS = 40;
-/** Part of a used-up rate that goes to programs that begin then: some of it is owed to those under way. */
-const BEGINNING_SHARE = 0.85;
-/** Rate for which one bucket is enough, in requests a second: some dozen instances draw on it without hindering each other. */
-const LANE_RATE = 80;
-/** Buckets that one workspace has at most. */
-const LARGEST_LANES = 16;
-/** Tries of one draw while the store fails. */
-const MAXIMUM_FAILURES = 2;
+/** Maximum wait of a request for credit: several answers of a slow store. */
+const CREDIT_TIMEOUT_MILLISECONDS = 800;
+/** Maximum wait for an empty bucket to refill: a fraction of the time that callers allow for an answer. */
+const MAXIMUM_REFILL_WAIT_MILLISECONDS = 600;
+/** Minimum delay before an empty bucket is tried again for waiting requests: more frequent draws of several instances conflict. */
+const MINIMUM_RETRY_DELAY_MILLISECONDS = 120;
+/** Bounds of the time for which requests are denied without another draw on an empty bucket. */
+const DENIAL_BOUNDS_MILLISECONDS = { maximum: 1_000, minimum: 250 };
+/** Minimum interval between draws ahead of demand: less than the demand that each draw covers. */
+const DRAW_AHEAD_INTERVAL_MILLISECONDS = 1_500;
+/** Age up to which a known row is written without reading it first: several instances change it each second. */
+const ROW_FRESHNESS_MILLISECONDS = 40;
+/** Share of the rate for which new programs are admitted while the workspace is over its rate; the rest is left to programs in progress. */
+const PROGRAM_START_SHARE = 0.85;
+/** Rate that one bucket can serve, in requests per second: some dozen instances can draw on it without conflicts. */
+const RATE_PER_BUCKET = 80;
+/** Maximum number of buckets of one workspace. */
+const MAXIMUM_BUCKETS = 16;
+/** Maximum number of store failures after which one draw is retried. */
+const MAXIMUM_STORE_FAILURES = 2;
 
-const unlimited: RateAdmission = { giveBack: () => undefined };
+const unlimitedAdmission: RateAdmission = { giveBack: () => undefined };
 
 /**
- * Admits requests within the rate and burst that a workspace has over all instances. Instances
- * hold credit drawn from one bucket a workspace in the store, ahead of demand, so that a request
- * seldom waits; credit that is not used goes back or lapses.
+ * Admits requests within the rate and burst that a workspace has over all instances. The store
+ * holds the token buckets of each workspace. Each instance draws credit from them ahead of demand,
+ * which spares most requests a call to the store; unused credit is returned or lapses.
  *
  * @example
  * const admission = await rates.admit(workspace, signal);
  */
 export class WorkspaceRates {
-  private readonly workspaces = new Map<string, Draws>();
-  /** Of all workspaces together, since an instance sees few programs of each. */
-  private readonly programSize = new ProgramSize();
-  private storeClock: { readonly storeTime: number; readonly steady: number } | undefined;
+  private readonly bucketStates = new Map<string, BucketState>();
+  /** Covers all workspaces together, since an instance sees few programs of each. */
+  private readonly programSizeEstimator = new ProgramSizeEstimator();
+  private storeClock: { readonly storeTime: number; readonly monotonicTime: number } | undefined;
 
-  public constructor(private readonly parts: WorkspaceRatesParts) {}
+  public constructor(private readonly dependencies: WorkspaceRatesDependencies) {}
 
   /**
-   * Takes a place for one request, or says why there is none. While a workspace uses more than its
-   * rate, programs that have not begun are refused, so that those that have can end.
+   * Acquires credit for one request, or returns why there is none. While a workspace is over its
+   * rate, requests that start a program also need credit from a bucket of program starts: programs
+   * in progress can then complete.
    */
   public async admit(
     workspace: GatewayWorkspace | undefined,
     signal: AbortSignal,
-    beginsProgram: () => Promise<boolean>,
+    startsProgram: () => Promise<boolean>,
   ): Promise<Result<RateAdmission, ZincringError>> {
     if (workspace === undefined || workspace.ratePerSecond <= 0) {
-      return Ok(unlimited);
+      return Ok(unlimitedAdmission);
     }
-    const lanes = this.lanesOf(workspace);
-    this.programSize.noteRequest();
-    if (isAnyScarce(lanes) && (await beginsProgram())) {
-      const beginning = await this.takePlace(this.beginningsOf(workspace), signal);
-      if (beginning.err) {
-        return beginning;
+    const buckets = this.bucketsFor(workspace);
+    this.programSizeEstimator.recordRequest();
+    if (isAnyOverRate(buckets) && (await startsProgram())) {
+      const startAdmission = await this.acquireCredit(
+        this.programStartBucketFor(workspace),
+        signal,
+      );
+      if (startAdmission.err) {
+        return startAdmission;
       }
     }
-    const [first, second] = lanes;
-    const admission = await this.takePlace(first, signal);
-    const isElsewhere = admission.err && admission.val.kind === 'rate-limited';
-    return isElsewhere && second !== undefined ? await this.takePlace(second, signal) : admission;
+    const [primaryBucket, secondaryBucket] = buckets;
+    const admission = await this.acquireCredit(primaryBucket, signal);
+    const isRateLimited = admission.err && admission.val.kind === 'rate-limited';
+    return isRateLimited && secondaryBucket !== undefined
+      ? await this.acquireCredit(secondaryBucket, signal)
+      : admission;
   }
 
-  /** Whether a workspace used more than its rate of late, as far as this instance knows. */
+  /** Whether a workspace recently used more than its rate, as far as this instance knows. */
   public isScarce(workspace: GatewayWorkspace | undefined): boolean {
     return (
-      workspace !== undefined && workspace.ratePerSecond > 0 && isAnyScarce(this.lanesOf(workspace))
+      workspace !== undefined &&
+      workspace.ratePerSecond > 0 &&
+      isAnyOverRate(this.bucketsFor(workspace))
     );
   }
 
   /**
-   * The buckets of a workspace that this instance draws on, its usual one first. A workspace with a
-   * high rate has several, since one row takes no more than some hundred changes a second.
+   * Returns the buckets of a workspace that this instance draws on, the primary one first. A
+   * workspace with a high rate has several, since one row takes only some hundred writes per second.
    */
-  private lanesOf(workspace: GatewayWorkspace): readonly [Draws, Draws?] {
+  private bucketsFor(workspace: GatewayWorkspace): readonly [BucketState, BucketState?] {
     const { burst, name, ratePerSecond } = workspace;
-    const count = Math.max(1, Math.min(LARGEST_LANES, Math.round(ratePerSecond / LANE_RATE)));
-    if (count === 1) {
-      return [this.drawsOf(workspace)];
+    const bucketCount = Math.max(
+      1,
+      Math.min(MAXIMUM_BUCKETS, Math.round(ratePerSecond / RATE_PER_BUCKET)),
+    );
+    if (bucketCount === 1) {
+      return [this.findOrAddBucketState(workspace)];
     }
-    const own = hash32(this.parts.instance) % count;
-    const drawsOfLane = (lane: number): Draws =>
-      this.drawsOf({
-        burst: burst / count,
-        name: `${name}/${String(count)}.${String(lane)}`,
-        ratePerSecond: ratePerSecond / count,
-        slackShare: 1 / count,
+    const primaryIndex = hash32(this.dependencies.instance) % bucketCount;
+    const stateOfBucket = (bucketIndex: number): BucketState =>
+      this.findOrAddBucketState({
+        burst: burst / bucketCount,
+        name: `${name}/${String(bucketCount)}.${String(bucketIndex)}`,
+        ratePerSecond: ratePerSecond / bucketCount,
+        slackShare: 1 / bucketCount,
       });
-    return [drawsOfLane(own), drawsOfLane((own + 1) % count)];
+    return [stateOfBucket(primaryIndex), stateOfBucket((primaryIndex + 1) % bucketCount)];
   }
 
-  /** Takes in that a program has had its first turn here. */
+  /** Records the first turn of a program at this instance. */
   public noteBeginning(): void {
-    this.programSize.noteBeginning();
+    this.programSizeEstimator.recordProgramStart();
   }
 
-  private async takePlace(
-    draws: Draws,
+  private async acquireCredit(
+    state: BucketState,
     signal: AbortSignal,
   ): Promise<Result<RateAdmission, ZincringError>> {
-    const { credit } = draws;
-    credit.noteDemand();
-    if (credit.take()) {
-      this.drawIfDue(draws);
+    const { credit } = state;
+    credit.recordDemand();
+    if (credit.tryAcquire()) {
+      this.drawIfDue(state);
       return Ok(admissionOf(credit));
     }
-    if (credit.deniedUntil > this.parts.timers.now()) {
-      return Err(this.rateLimited(credit));
+    if (credit.deniedUntil > this.dependencies.timers.now()) {
+      return Err(this.createRateLimitedError(credit));
     }
-    const answer = this.parts.table.isAway ? 'unknown' : await this.waitForCredit(draws, signal);
-    switch (answer) {
+    const outcome = this.dependencies.table.isAway
+      ? 'unknown'
+      : await this.waitForCredit(state, signal);
+    switch (outcome) {
       case 'granted':
         return Ok(admissionOf(credit));
       case 'denied':
-        return Err(this.rateLimited(credit));
+        return Err(this.createRateLimitedError(credit));
       case 'unknown':
         return Err(
           new ZincringError('store-unavailable', {
             detail: 'the use of the workspace is not known',
-            retryAfterSeconds: this.parts.table.retryAfterSeconds,
+            retryAfterSeconds: this.dependencies.table.retryAfterSeconds,
           }),
         );
     }
   }
 
-  private drawsOf(bucket: Bucket): Draws {
-    const { name } = bucket;
-    const known = this.workspaces.get(name);
-    if (known !== undefined) {
-      known.credit.limit = bucket;
-      return known;
+  private findOrAddBucketState(limit: NamedRateLimit): BucketState {
+    const { name } = limit;
+    const existing = this.bucketStates.get(name);
+    if (existing !== undefined) {
+      existing.credit.limit = limit;
+      return existing;
     }
-    const draws: Draws = {
+    const state: BucketState = {
       address: { key: name, partition: `${RATE_TABLE}-${name}`, table: RATE_TABLE },
-      aheadAt: -Infinity,
-      credit: new WorkspaceCredit(this.parts.timers, bucket),
-      isAsking: false,
-      knownAt: -Infinity,
+      drawAheadAllowedAt: -Infinity,
+      credit: new WorkspaceCredit(this.dependencies.timers, limit),
+      isDrawing: false,
+      rowReadAt: -Infinity,
       row: absentRow,
     };
-    this.workspaces.set(name, draws);
-    return draws;
+    this.bucketStates.set(name, state);
+    return state;
   }
 
-  private async waitForCredit(draws: Draws, signal: AbortSignal): Promise<CreditAnswer> {
-    const { credit } = draws;
+  private async waitForCredit(state: BucketState, signal: AbortSignal): Promise<CreditOutcome> {
+    const { credit } = state;
     return await new Promise(resolve => {
-      const settle = (answer: CreditAnswer): void => {
-        limit.stop();
-        signal.removeEventListener('abort', giveUp);
-        resolve(answer);
+      const settle = (outcome: CreditOutcome): void => {
+        timeout.stop();
+        signal.removeEventListener('abort', stopOnTimeoutOrAbort);
+        resolve(outcome);
       };
-      const stopWaiting = credit.wait(settle);
-      const giveUp = (): void => {
-        stopWaiting();
-        settle(credit.isScarce ? 'denied' : 'unknown');
+      const removeWaiter = credit.addWaiter(settle);
+      const stopOnTimeoutOrAbort = (): void => {
+        removeWaiter();
+        settle(credit.isOverRate ? 'denied' : 'unknown');
       };
-      const limit = this.parts.timers.after(WAIT_MILLISECONDS, giveUp);
-      signal.addEventListener('abort', giveUp, { once: true });
-      this.drawIfDue(draws);
+      const timeout = this.dependencies.timers.after(
+        CREDIT_TIMEOUT_MILLISECONDS,
+        stopOnTimeoutOrAbort,
+      );
+      signal.addEventListener('abort', stopOnTimeoutOrAbort, { once: true });
+      this.drawIfDue(state);
     });
   }
 
-  private drawIfDue(draws: Draws): void {
-    const { credit } = draws;
-    const now = this.parts.timers.now();
-    const isDue = credit.waiting > 0 || (credit.needsCredit && draws.aheadAt <= now);
+  private drawIfDue(state: BucketState): void {
+    const { credit } = state;
+    const now = this.dependencies.timers.now();
+    const isDue = credit.waiting > 0 || (credit.needsCredit && state.drawAheadAllowedAt <= now);
     if (isDue && credit.deniedUntil <= now) {
-      this.startDraw(draws);
+      this.startDraw(state);
     }
   }
 
-  private startDraw(draws: Draws): void {
-    if (draws.isAsking) {
+  private startDraw(state: BucketState): void {
+    if (state.isDrawing) {
       return;
     }
-    draws.isAsking = true;
-    draws.aheadAt = this.parts.timers.now() + AHEAD_PAUSE_MILLISECONDS;
-    void this.draw(draws).finally(() => {
-      draws.isAsking = false;
+    state.isDrawing = true;
+    state.drawAheadAllowedAt = this.dependencies.timers.now() + DRAW_AHEAD_INTERVAL_MILLISECONDS;
+    void this.draw(state).finally(() => {
+      state.isDrawing = false;
     });
   }
 
-  private async draw(draws: Draws): Promise<void> {
-    const { credit } = draws;
-    let sentAt = momentOf(this.parts.timers);
+  private async draw(state: BucketState): Promise<void> {
+    const { credit } = state;
+    let sentAt = momentOf(this.dependencies.timers);
     const { storeValidMilliseconds } = credit;
     let unspentWhenSent = credit.unspent;
     const edited = await editRow<CreditGrant>(
-      this.parts.table,
-      this.parts.timers,
-      draws.address,
-      draws.row,
+      this.dependencies.table,
+      this.dependencies.timers,
+      state.address,
+      state.row,
       (row, storeTime) => {
-        this.noteStoreTime(storeTime);
-        // The write that takes effect is the last one that is sent.
-        sentAt = momentOf(this.parts.timers);
+        this.recordStoreTime(storeTime);
+        // If the edit is retried, the write that takes effect is the last one sent.
+        sentAt = momentOf(this.dependencies.timers);
         unspentWhenSent = credit.unspent;
-        const grant = this.grant(parseBucket(row.value), credit, storeValidMilliseconds);
+        const grant = this.computeGrant(parseBucket(row.value), credit, storeValidMilliseconds);
         if (!grant.isChanged) {
           return { answer: grant, kind: 'leave' };
         }
@@ -259,116 +276,126 @@
         return { answer: grant, kind: 'write', value };
       },
       {
-        maximumFailures: MAXIMUM_FAILURES,
-        readsFirst: this.parts.timers.now() - draws.knownAt > RECENT_MILLISECONDS,
-        random: this.parts.random,
+        maximumFailures: MAXIMUM_STORE_FAILURES,
+        readsFirst: this.dependencies.timers.now() - state.rowReadAt > ROW_FRESHNESS_MILLISECONDS,
+        random: this.dependencies.random,
         signal: new AbortController().signal,
       },
     );
     if (edited.err) {
-      draws.row = absentRow;
-      this.parts.logger.warn(
-        { event: 'credit-unknown', failure: edited.val.message, workspace: draws.address.key },
-        'no credit could be drawn',
+      state.row = absentRow;
+      this.dependencies.logger.warn(
+        { event: 'credit-unknown', failure: edited.val.message, workspace: state.address.key },
+        'could not draw rate credit from the store',
       );
-      credit.dismissWaiters('unknown');
+      credit.settleWaiters('unknown');
       return;
     }
-    draws.row = edited.val.row;
-    draws.knownAt = this.parts.timers.now();
-    this.noteStoreTime(edited.val.storeTime);
-    const spent = Math.max(0, unspentWhenSent - credit.unspent);
-    credit.noteUse(edited.val.answer.isScarce);
+    state.row = edited.val.row;
+    state.rowReadAt = this.dependencies.timers.now();
+    this.recordStoreTime(edited.val.storeTime);
+    const spentSinceRequest = Math.max(0, unspentWhenSent - credit.unspent);
+    credit.recordRateUse(edited.val.answer.isOverRate);
     const { held, immediate, isChanged } = edited.val.answer;
     if (isChanged) {
-      credit.receive(held, spent, { sentAt, storeValidMilliseconds });
+      credit.applyGrant(held, spentSinceRequest, { sentAt, storeValidMilliseconds });
     }
-    const isInTime = elapsedSince(this.parts.timers, sentAt) < IMMEDIATE_MILLISECONDS / 2;
+    const isInTime =
+      elapsedSince(this.dependencies.timers, sentAt) < IMMEDIATE_GRANT_MILLISECONDS / 2;
     credit.serveWaiters(isInTime ? immediate : 0);
-    this.judgeWaiters(draws);
+    this.retryOrDenyWaiters(state);
   }
 
-  private grant(
+  private computeGrant(
     bucket: WorkspaceBucket | undefined,
     credit: WorkspaceCredit,
     validMilliseconds: number,
   ): CreditGrant {
     return grantCredit(bucket, credit.limit, {
-      holder: this.parts.holder,
-      lastHeld: credit.lastHeld,
-      storeTime: this.storeTime(bucket?.updatedAt ?? 0),
+      holder: this.dependencies.holder,
+      confirmedCredit: credit.confirmedCredit,
+      storeTime: this.estimateStoreTime(bucket?.updatedAt ?? 0),
       unspent: credit.unspent,
       validMilliseconds,
       waiting: credit.waiting,
-      wished: credit.wished,
+      requestedAhead: credit.requestedAhead,
     });
   }
 
-  /** Lets those wait for whom the rate soon has room again, and denies the others. */
-  private judgeWaiters(draws: Draws): void {
-    const { credit } = draws;
+  /** Schedules another draw for the waiters if the bucket refills in time, and denies them otherwise. */
+  private retryOrDenyWaiters(state: BucketState): void {
+    const { credit } = state;
     if (credit.waiting === 0) {
       return;
     }
     const { ratePerSecond } = credit.limit;
     const refillMilliseconds = (1_000 * credit.waiting) / ratePerSecond;
-    const pause = Math.max(ASK_AGAIN_MILLISECONDS, refillMilliseconds);
-    if (credit.longestWait + pause <= PATIENCE_MILLISECONDS) {
-      this.parts.timers.after(pause, () => {
-        this.drawIfDue(draws);
+    const retryDelayMilliseconds = Math.max(MINIMUM_RETRY_DELAY_MILLISECONDS, refillMilliseconds);
+    if (
+      credit.longestWaitMilliseconds + retryDelayMilliseconds <=
+      MAXIMUM_REFILL_WAIT_MILLISECONDS
+    ) {
+      this.dependencies.timers.after(retryDelayMilliseconds, () => {
+        this.drawIfDue(state);
       });
       return;
     }
-    const { longest, shortest } = DENIED_MILLISECONDS;
-    const denied = Math.min(longest, Math.max(shortest, refillMilliseconds));
-    credit.deniedUntil = this.parts.timers.now() + denied;
-    this.parts.logger.info(
-      { denied, event: 'rate-exhausted', unserved: credit.waiting, workspace: draws.address.key },
-      'the workspace has used up its rate',
+    const { maximum, minimum } = DENIAL_BOUNDS_MILLISECONDS;
+    const denialMilliseconds = Math.min(maximum, Math.max(minimum, refillMilliseconds));
+    credit.deniedUntil = this.dependencies.timers.now() + denialMilliseconds;
+    this.dependencies.logger.info(
+      {
+        denied: denialMilliseconds,
+        event: 'rate-exhausted',
+        unserved: credit.waiting,
+        workspace: state.address.key,
+      },
+      'workspace is over its rate; denying requests',
     );
-    credit.dismissWaiters('denied');
+    credit.settleWaiters('denied');
   }
 
-  /** The rate at which programs may begin: as many as the rate of their requests can finish. */
-  private beginningsOf({ burst, name, ratePerSecond }: GatewayWorkspace): Draws {
-    const { requests } = this.programSize;
-    return this.drawsOf({
-      burst: Math.max(1, (burst * BEGINNING_SHARE) / requests),
+  /** Returns the bucket that limits program starts to as many programs as the rate can complete. */
+  private programStartBucketFor({ burst, name, ratePerSecond }: GatewayWorkspace): BucketState {
+    const { requestsPerProgram: requests } = this.programSizeEstimator;
+    return this.findOrAddBucketState({
+      burst: Math.max(1, (burst * PROGRAM_START_SHARE) / requests),
       name: `${name}/programs`,
-      ratePerSecond: (ratePerSecond * BEGINNING_SHARE) / requests,
+      ratePerSecond: (ratePerSecond * PROGRAM_START_SHARE) / requests,
     });
   }
 
-  private rateLimited(credit: WorkspaceCredit): ZincringError {
-    const wait = Math.max(credit.deniedUntil - this.parts.timers.now(), 0);
-    const retryAfterSeconds = Math.ceil(wait + 1_000 / credit.limit.ratePerSecond) / 1_000;
+  private createRateLimitedError(credit: WorkspaceCredit): ZincringError {
+    const waitMilliseconds = Math.max(credit.deniedUntil - this.dependencies.timers.now(), 0);
+    const retryAfterSeconds =
+      Math.ceil(waitMilliseconds + 1_000 / credit.limit.ratePerSecond) / 1_000;
     return new ZincringError('rate-limited', { retryAfterSeconds });
   }
 
-  /** Time of the store as far as it has surely come. */
-  private storeTime(atLeast: number): number {
+  /** Lower bound of the current time on the store's clock, in milliseconds. */
+  private estimateStoreTime(minimumStoreTime: number): number {
     if (this.storeClock === undefined) {
-      return atLeast;
+      return minimumStoreTime;
     }
-    const elapsed = this.parts.timers.now() - this.storeClock.steady;
-    return Math.max(atLeast, this.storeClock.storeTime + elapsed);
+    const elapsedMilliseconds = this.dependencies.timers.now() - this.storeClock.monotonicTime;
+    return Math.max(minimumStoreTime, this.storeClock.storeTime + elapsedMilliseconds);
   }
 
-  private noteStoreTime(storeTime: number | undefined): void {
+  private recordStoreTime(storeTime: number | undefined): void {
     if (storeTime !== undefined) {
-      this.storeClock = { steady: this.parts.timers.now(), storeTime };
+      this.storeClock = { monotonicTime: this.dependencies.timers.now(), storeTime };
     }
   }
 }
 
-function isAnyScarce(lanes: readonly (Draws | undefined)[]): boolean {
-  return lanes.some(draws => draws?.credit.isScarce === true);
+function isAnyOverRate(buckets: readonly (BucketState | undefined)[]): boolean {
+  return buckets.some(state => state?.credit.isOverRate === true);
 }
 
 function admissionOf(credit: WorkspaceCredit): RateAdmission {
   return {
     giveBack: () => {
-      credit.giveBack();
+      credit.refund();
     },
   };
 }
