--- a/packages/gateway/src/store/editRow.ts
+++ b/packages/gateway/src/store/editRow.ts
@@ -3,55 +3,55 @@
 
 import { Err, Ok, sleep } from '@zincring/core';
 
-/** A row as it was last known. */
+/** A row as this process last knew it. */
 export interface KnownRow {
   readonly value: Buffer | undefined;
   /** 0 for an absent row. */
   readonly version: number;
 }
 
-/** The row that nobody has written yet. */
+/** A row that does not exist in the store. */
 export const absentRow: KnownRow = { value: undefined, version: 0 };
 
-/** What an edit wants: to write a new value, or to leave the row as it is. */
+/** Decision of an edit, with its result: to write a new value, or to leave the row as it is. */
 export type RowEdit<Answer> =
   | { readonly kind: 'leave'; readonly answer: Answer }
   | { readonly kind: 'write'; readonly answer: Answer; readonly value: Buffer };
 
-/** The outcome of an edit. */
+/** Outcome of {@link editRow}. */
 export interface EditedRow<Answer> {
   readonly answer: Answer;
   readonly row: KnownRow;
-  /** Whether the store has confirmed the row that the answer was drawn from. */
+  /** Whether the store has confirmed the row on which the answer is based. */
   readonly isConfirmed: boolean;
-  /** Steady clock of the store when it answered last; absent when it was not asked. */
+  /** Monotonic clock of the store at its last answer, in milliseconds; absent when it was not called. */
   readonly storeTime: number | undefined;
 }
 
-/** How long an edit may take. */
+/** Options of {@link editRow}. */
 export interface EditOptions {
-  /** Ends the edit; a write that was sent may still take effect. */
+  /** Stops the edit after its next failure; a write that was sent may still take effect. */
   readonly signal: AbortSignal;
-  /** Tries after failures of the store. */
+  /** Maximum number of store failures after which the edit is retried. */
   readonly maximumFailures: number;
-  /** Whether to read the row first, because what is known of it is likely old: reads are cheaper than conflicts. */
+  /** Whether to read the row first because the known row is likely out of date: reads are cheaper than conflicts. */
   readonly readsFirst: boolean;
-  /** Spreads writers that met the same conflict; from 0 to 1. */
+  /** Returns a number from 0 to 1, for the jitter of the pauses. */
   readonly random: () => number;
 }
 
-/** Pause after a failure of the store, in milliseconds: a few of its usual answers. */
-const FAILURE_PAUSE = 10;
-/** Longest pause after a first conflict, in milliseconds: one transaction of the store; it doubles with each further one. */
-const CONFLICT_PAUSE = 6;
-/** Conflicts after which the pause grows no more. */
-const CONFLICT_DOUBLINGS = 4;
+/** Base of the backoff after a store failure: the time of a few of its usual answers. */
+const FAILURE_BACKOFF_MILLISECONDS = 10;
+/** Maximum pause after the first conflict: the time of one transaction. It doubles with each further conflict. */
+const CONFLICT_BACKOFF_MILLISECONDS = 6;
+/** Conflicts after which the pause no longer grows. */
+const MAXIMUM_CONFLICT_DOUBLINGS = 4;
 
 /**
- * Changes a row under the condition that nobody else has. A write whose answer is lost is sent
- * again under the same condition, so at most one of the two takes effect; `edit` must recognise
- * its own earlier write in the row that it is given; the steady clock of the store comes with it
- * once the store has answered.
+ * Changes a row by compare-and-set on its version, with retries. A write whose answer is lost is
+ * sent again with the same version, so that at most one of the two takes effect. `edit` must
+ * recognise its own earlier write in the row that it receives. It also receives the monotonic clock
+ * of the store once the store has answered.
  *
  * @example
  * const edited = await editRow(table, timers, address, absentRow, edit, options);
@@ -69,49 +69,50 @@
   let storeTime: number | undefined;
   let failures = 0;
   let conflicts = 0;
-  let isReading = options.readsFirst;
+  let needsRead = options.readsFirst;
   for (;;) {
-    if (isReading) {
+    if (needsRead) {
       const read = await readRow(table, address);
       if (read.ok) {
         ({ row, storeTime } = read.val);
         isConfirmed = true;
-        isReading = false;
+        needsRead = false;
       } else if (++failures > options.maximumFailures || options.signal.aborted) {
         return read;
       } else {
-        await sleep(timers, failurePause(failures, options), options.signal);
+        await sleep(timers, failureBackoffMilliseconds(failures, options), options.signal);
         continue;
       }
     }
-    const wanted = edit(row, storeTime);
-    if (wanted.kind === 'leave') {
-      return Ok({ answer: wanted.answer, isConfirmed, row, storeTime });
+    const rowEdit = edit(row, storeTime);
+    if (rowEdit.kind === 'leave') {
+      return Ok({ answer: rowEdit.answer, isConfirmed, row, storeTime });
     }
     const outcome = await table.transact({
       checks: [{ ...address, version: row.version }],
       removals: [],
-      writes: [{ ...address, value: wanted.value }],
+      writes: [{ ...address, value: rowEdit.value }],
     });
     if (outcome.ok && outcome.val.status === 'committed') {
-      const written = { value: wanted.value, version: outcome.val.version };
+      const writtenRow = { value: rowEdit.value, version: outcome.val.version };
       storeTime = outcome.val.storeTime;
-      return Ok({ answer: wanted.answer, isConfirmed: true, row: written, storeTime });
+      return Ok({ answer: rowEdit.answer, isConfirmed: true, row: writtenRow, storeTime });
     }
     if (outcome.err) {
       failures++;
       if (failures > options.maximumFailures || options.signal.aborted) {
         return Err(outcome.val);
       }
-      await sleep(timers, failurePause(failures, options), options.signal);
+      await sleep(timers, failureBackoffMilliseconds(failures, options), options.signal);
       continue;
     }
     if (outcome.val.status === 'conflict') {
-      row = outcome.val.rows.find(found => found.key === address.key) ?? absentRow;
+      row = outcome.val.rows.find(candidate => candidate.key === address.key) ?? absentRow;
       storeTime = outcome.val.storeTime;
       isConfirmed = true;
-      const longest = CONFLICT_PAUSE * 2 ** Math.min(conflicts++, CONFLICT_DOUBLINGS);
-      await sleep(timers, options.random() * longest, options.signal);
+      const maximumBackoffMilliseconds =
+        CONFLICT_BACKOFF_MILLISECONDS * 2 ** Math.min(conflicts++, MAXIMUM_CONFLICT_DOUBLINGS);
+      await sleep(timers, options.random() * maximumBackoffMilliseconds, options.signal);
     }
   }
 }
@@ -133,7 +134,7 @@
   }));
 }
 
-/** Doubles with each failure and spreads, so that a store over its rate is not pressed further. */
-function failurePause(failures: number, { random }: EditOptions): number {
-  return FAILURE_PAUSE * 2 ** failures * (0.5 + random());
+/** Exponential backoff with jitter, which relieves a store that is over its rate. */
+function failureBackoffMilliseconds(failures: number, { random }: EditOptions): number {
+  return FAILURE_BACKOFF_MILLISECONDS * 2 ** failures * (0.5 + random());
 }
--- a/packages/gateway/src/store/partitionSet.ts
+++ b/packages/gateway/src/store/partitionSet.ts
@@ -1,7 +1,7 @@
 import { hash32 } from '@zincring/core';
 
 /**
- * The partitions over which the rows of one table are spread. The transactions of a partition run one after
+ * Partitions over which the rows of one table are spread. Transactions of a partition run one after
  * another, whatever their tables, so each table has partitions of its own.
  *
  * @example
@@ -9,19 +9,19 @@
  * partitions.of('program-7'); // 'budgets-93'
  */
 export class PartitionSet {
-  /** All of them, for sweeps. */
+  /** Names of all partitions, for sweeps over the table. */
   public readonly names: readonly string[];
 
   public constructor(table: string, count: number) {
     this.names = Array.from({ length: count }, (_unused, index) => `${table}-${String(index)}`);
   }
 
-  /** The partition of a key: always the same one. */
+  /** Returns the partition of a key, which is always the same one. */
   public of(key: string): string {
-    const name = this.names[hash32(key) % this.names.length];
-    if (name === undefined) {
-      throw new RangeError('a set of partitions has at least one');
+    const partition = this.names[hash32(key) % this.names.length];
+    if (partition === undefined) {
+      throw new RangeError('a partition set needs at least one partition');
     }
-    return name;
+    return partition;
   }
 }
--- a/packages/gateway/src/store/rowSweeper.ts
+++ b/packages/gateway/src/store/rowSweeper.ts
@@ -1,128 +1,134 @@
 import type { Logger, TimerService, TimerSubscription } from '@zincring/core';
 import type { PartitionedRow, PartitionedTable } from '@zincring/platform';
 
-/** A table whose rows end by themselves. */
+/** A table whose rows expire. */
 export interface SweptTable {
   readonly table: string;
   readonly partitions: readonly string[];
-  /** When a row may be removed, by the wall clock, in milliseconds; `undefined` for rows that go with others. */
+  /** Returns the expiry of a row on the wall clock, in milliseconds; `undefined` for rows that are removed with another one. */
   expiresAt(row: PartitionedRow): number | undefined;
-  /** Keys of all rows that go with a row, its own included. */
+  /** Returns the keys of all rows that are removed with a row, including its own. */
   keysOf(row: PartitionedRow): readonly string[];
 }
 
-/** What a {@link RowSweeper} works with. */
-export interface RowSweeperParts {
+/** Dependencies of a {@link RowSweeper}. */
+export interface RowSweeperDependencies {
   readonly table: PartitionedTable;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly random: () => number;
 }
 
-/** Pause between looks of one instance, in milliseconds: a dozen instances remove more rows a second than they write. */
-const PAUSE_MILLISECONDS = 5_000;
-/** Rows of one look: some hundred kilobytes, and as many as are removed in a few transactions. */
-const ROWS_PER_LOOK = 100;
-/** Entries of one removal: the store's own limit. */
-const MAXIMUM_ENTRIES = 100;
-/** Time beyond the end of a row for which it is kept, in milliseconds: wall clocks differ between instances. */
+/** Interval between the pages that one instance sweeps: a dozen instances remove more rows per second than they write. */
+const SWEEP_INTERVAL_MILLISECONDS = 5_000;
+/** Rows read at a time: some hundred kilobytes, which a few transactions can remove. */
+const ROWS_PER_PAGE = 100;
+/** Maximum number of checks and removals in one transaction: the store's own limit. */
+const MAXIMUM_TRANSACTION_ENTRIES = 100;
+/** Time for which an expired row is still kept, since wall clocks differ between instances. */
 const CLOCK_MARGIN_MILLISECONDS = 10_000;
 
 /**
- * Removes rows that have ended, a few at a time: nothing in the store expires by itself. Each look
- * reads one page of a partition drawn at random and goes on there the next time.
+ * Removes expired rows, since the store itself expires nothing. Each sweep reads one page of a
+ * random partition; the next sweep of that partition continues after it.
  *
  * @example
  * new RowSweeper(parts, [turnTable, budgetTable]).start();
  */
 export class RowSweeper {
   private readonly cursors = new Map<string, string>();
-  private looking: TimerSubscription | undefined;
+  private sweepTimer: TimerSubscription | undefined;
 
   public constructor(
-    private readonly parts: RowSweeperParts,
+    private readonly dependencies: RowSweeperDependencies,
     private readonly tables: readonly SweptTable[],
   ) {}
 
-  /** Begins to look. */
+  /** Starts periodic sweeps. */
   public start(): void {
-    this.looking = this.parts.timers.every(PAUSE_MILLISECONDS, () => void this.look());
+    this.sweepTimer = this.dependencies.timers.every(
+      SWEEP_INTERVAL_MILLISECONDS,
+      () => void this.sweepPage(),
+    );
   }
 
-  /** Ends. */
+  /** Stops the sweeps. */
   public stop(): void {
-    this.looking?.stop();
+    this.sweepTimer?.stop();
   }
 
-  /** Looks at one page and removes what has ended. */
-  public async look(): Promise<void> {
-    const swept = this.pick(this.tables);
-    const partition = swept === undefined ? undefined : this.pick(swept.partitions);
-    if (swept === undefined || partition === undefined) {
+  /** Reads one page and removes its expired rows. */
+  public async sweepPage(): Promise<void> {
+    const sweptTable = this.pickRandom(this.tables);
+    const partition = sweptTable === undefined ? undefined : this.pickRandom(sweptTable.partitions);
+    if (sweptTable === undefined || partition === undefined) {
       return;
     }
-    const place = `${swept.table}/${partition}`;
-    const page = await this.parts.table.read({
-      from: this.cursors.get(place) ?? '',
-      limit: ROWS_PER_LOOK,
+    const cursorKey = `${sweptTable.table}/${partition}`;
+    const page = await this.dependencies.table.read({
+      from: this.cursors.get(cursorKey) ?? '',
+      limit: ROWS_PER_PAGE,
       partition,
-      table: swept.table,
+      table: sweptTable.table,
     });
     if (page.err) {
-      this.logFailure(swept.table, page.val.message);
+      this.logFailure(sweptTable.table, page.val.message);
       return;
     }
     const lastKey = page.val.rows.at(-1)?.key;
-    const next = page.val.isTruncated && lastKey !== undefined ? `${lastKey}\u0000` : '';
-    this.cursors.set(place, next);
-    const ended = page.val.rows.filter(row => this.hasEnded(swept, row));
-    for (const batch of batchesOf(swept, ended)) {
-      await this.remove(swept, batch);
+    const nextCursor = page.val.isTruncated && lastKey !== undefined ? `${lastKey}\u0000` : '';
+    this.cursors.set(cursorKey, nextCursor);
+    const expiredRows = page.val.rows.filter(row => this.hasExpired(sweptTable, row));
+    for (const batch of splitIntoBatches(sweptTable, expiredRows)) {
+      await this.removeRows(sweptTable, batch);
     }
   }
 
-  private hasEnded(swept: SweptTable, row: PartitionedRow): boolean {
-    const expiresAt = swept.expiresAt(row);
-    const now = this.parts.timers.wallClock();
+  private hasExpired(sweptTable: SweptTable, row: PartitionedRow): boolean {
+    const expiresAt = sweptTable.expiresAt(row);
+    const now = this.dependencies.timers.wallClock();
     return expiresAt !== undefined && now >= expiresAt + CLOCK_MARGIN_MILLISECONDS;
   }
 
-  /** Removes rows together unless one of them has changed since: another look finds the others again. */
-  private async remove(swept: SweptTable, rows: readonly PartitionedRow[]): Promise<void> {
-    const removed = await this.parts.table.transact({
+  /** Removes rows in one transaction; if one of them has changed since, none is removed and a later sweep finds the rest again. */
+  private async removeRows(sweptTable: SweptTable, rows: readonly PartitionedRow[]): Promise<void> {
+    const outcome = await this.dependencies.table.transact({
       checks: rows,
-      removals: rows.flatMap(row => swept.keysOf(row).map(key => ({ ...row, key }))),
+      removals: rows.flatMap(row => sweptTable.keysOf(row).map(key => ({ ...row, key }))),
       writes: [],
     });
-    if (removed.err) {
-      this.logFailure(swept.table, removed.val.message);
+    if (outcome.err) {
+      this.logFailure(sweptTable.table, outcome.val.message);
     }
   }
 
   private logFailure(table: string, failure: string): void {
-    this.parts.logger.warn({ event: 'sweep-failed', failure, table }, 'rows that ended are kept');
+    this.dependencies.logger.warn(
+      { event: 'sweep-failed', failure, table },
+      'could not remove expired rows',
+    );
   }
 
-  private pick<Item>(items: readonly Item[]): Item | undefined {
-    return items[Math.floor(this.parts.random() * items.length)];
+  private pickRandom<Item>(items: readonly Item[]): Item | undefined {
+    return items[Math.floor(this.dependencies.random() * items.length)];
   }
 }
 
-/** Divides rows so that the checks and removals of each batch fit into one transaction. */
-function batchesOf(
-  swept: SweptTable,
+/** Splits rows into batches whose checks and removals fit into one transaction. */
+function splitIntoBatches(
+  sweptTable: SweptTable,
   rows: readonly PartitionedRow[],
 ): readonly (readonly PartitionedRow[])[] {
   const batches: PartitionedRow[][] = [];
-  let entries = MAXIMUM_ENTRIES;
+  let entries = MAXIMUM_TRANSACTION_ENTRIES;
   for (const row of rows) {
-    const further = 1 + swept.keysOf(row).length;
-    if (entries + further > MAXIMUM_ENTRIES) {
+    const rowEntries = 1 + sweptTable.keysOf(row).length;
+    if (entries + rowEntries > MAXIMUM_TRANSACTION_ENTRIES) {
       batches.push([]);
       entries = 0;
     }
     batches.at(-1)?.push(row);
-    entries += further;
+    entries += rowEntries;
   }
   return batches;
 }
--- a/packages/gateway/src/store/tableFollower.ts
+++ b/packages/gateway/src/store/tableFollower.ts
@@ -12,34 +12,35 @@
 
 import { ContactAge, momentOf } from '../configuration/contactAge.js';
 
-/** What a {@link TableFollower} tells of its table. */
+/** Receives the rows and changes that a {@link TableFollower} reads. */
 export interface TableListener {
-  /** All rows as of one moment, after a start or a gap in the feed. */
+  /** Called with all rows as of one version: after the start, after a gap in the feed and on a refresh. */
   onSnapshot(rows: readonly PartitionedRow[]): void;
-  /** Later changes, in the order of their versions. */
+  /** Called with later changes, in the order of their versions. */
   onChanges(changes: readonly RowChange[]): void;
 }
 
-/** How a {@link TableFollower} asks. */
+/** Options of a {@link TableFollower}. */
 export interface TableFollowerOptions {
   readonly table: string;
-  /** Longest wait of one request for changes, in milliseconds. */
+  /** Maximum time for which the store holds a request for changes open, in milliseconds. */
   readonly waitMilliseconds: number;
-  /** Pause after changes came, so that a busy table costs few requests, in milliseconds. */
+  /** Pause after a successful request, in milliseconds: limits the requests that a busy table causes. */
   readonly pauseMilliseconds: number;
-  /** First pause after a failure, in milliseconds; it doubles up to {@link LONGEST_BACKOFF}. */
+  /** First pause after a failure, in milliseconds; it doubles up to {@link MAXIMUM_BACKOFF_MILLISECONDS}. */
   readonly backoffMilliseconds: number;
 }
 
-/** Longest pause after failures, in milliseconds: a fraction of the time that a key may outlive its withdrawal. */
-const LONGEST_BACKOFF = 400;
-/** Rows asked for in one page: the store's own limit. */
-const PAGE_ROWS = 500;
+/** Maximum pause after failures: a fraction of the time for which a withdrawn key may still be accepted. */
+const MAXIMUM_BACKOFF_MILLISECONDS = 400;
+/** Rows requested in one page: the store's own limit. */
+const ROWS_PER_PAGE = 500;
 
 /**
- * Follows one table of the store: a snapshot first, then its feed of changes. Any failure of the
- * feed leads to a new snapshot, since changes may have been missed. An uneventful answer never
- * moves the point from which the feed goes on: a feed that missed a change would skip it for good.
+ * Follows one table of the store: reads a snapshot and then the feed of changes. After any failure
+ * of the feed it reads a new snapshot, since changes may have been missed. Only received changes
+ * advance the version from which the feed continues; an answer without changes does not, as a feed
+ * that missed a change would then skip it permanently.
  *
  * @example
  * const follower = new TableFollower(table, timers, logger, options, listener);
@@ -47,12 +48,13 @@
  */
 export class TableFollower {
   private readonly contact: ContactAge;
-  private after: number | undefined;
-  private backoff: number;
+  /** Version up to which changes were applied; `undefined` when a snapshot is needed. */
+  private appliedVersion: number | undefined;
+  private nextBackoffMilliseconds: number;
   private isInContact = false;
   private isStopped = false;
-  private pausing: TimerSubscription | undefined;
-  private refreshing: Promise<boolean> | undefined;
+  private pauseTimer: TimerSubscription | undefined;
+  private pendingRefresh: Promise<boolean> | undefined;
   private snapshotVersion = -1;
 
   public constructor(
@@ -63,65 +65,69 @@
     private readonly listener: TableListener,
   ) {
     this.contact = new ContactAge(timers);
-    this.backoff = options.backoffMilliseconds;
+    this.nextBackoffMilliseconds = options.backoffMilliseconds;
   }
 
-  /** Time since the table was last known to be read in full, in milliseconds. */
+  /** Age of the last confirmation that the table is up to date here, in milliseconds. */
   public contactMilliseconds(): number {
     return this.contact.milliseconds();
   }
 
-  /** Begins to follow. */
+  /** Starts to follow the table. */
   public start(): void {
     this.follow();
   }
 
-  /** Ends: nothing is told afterwards. */
+  /** Stops; the listener is not called afterwards. */
   public stop(): void {
     this.isStopped = true;
-    this.pausing?.stop();
+    this.pauseTimer?.stop();
   }
 
-  /** Reads the whole table at once, beside the feed; callers that ask meanwhile share one read. */
+  /** Reads a snapshot immediately, independently of the feed; concurrent callers share one read. Returns whether it succeeded. */
   public async refresh(): Promise<boolean> {
-    this.refreshing ??= this.readSnapshot().finally(() => {
-      this.refreshing = undefined;
+    this.pendingRefresh ??= this.readSnapshot().finally(() => {
+      this.pendingRefresh = undefined;
     });
-    return await this.refreshing;
+    return await this.pendingRefresh;
   }
 
   private follow(): void {
-    this.step().catch((failure: unknown) => {
+    this.followOnce().catch((failure: unknown) => {
       this.logger.error(
         { event: 'follow-fault', failure: failureText(failure), table: this.options.table },
-        'reading the table anew',
+        'following the table failed unexpectedly; reading a new snapshot',
       );
-      this.after = undefined;
-      this.pausing = this.timers.after(LONGEST_BACKOFF, () => {
+      this.appliedVersion = undefined;
+      this.pauseTimer = this.timers.after(MAXIMUM_BACKOFF_MILLISECONDS, () => {
         this.follow();
       });
     });
   }
 
-  private async step(): Promise<void> {
-    const isAnswered = this.after === undefined ? await this.refresh() : await this.readChanges();
+  private async followOnce(): Promise<void> {
+    const hasSucceeded =
+      this.appliedVersion === undefined ? await this.refresh() : await this.readChanges();
     if (this.isStopped) {
       return;
     }
-    this.noteContact(isAnswered);
-    this.pausing = this.timers.after(this.nextPause(isAnswered), () => {
+    this.recordContact(hasSucceeded);
+    this.pauseTimer = this.timers.after(this.nextPauseMilliseconds(hasSucceeded), () => {
       this.follow();
     });
   }
 
-  private nextPause(isAnswered: boolean): number {
-    if (isAnswered) {
-      this.backoff = this.options.backoffMilliseconds;
+  private nextPauseMilliseconds(hasSucceeded: boolean): number {
+    if (hasSucceeded) {
+      this.nextBackoffMilliseconds = this.options.backoffMilliseconds;
       return this.options.pauseMilliseconds;
     }
-    const pause = this.backoff;
-    this.backoff = Math.min(LONGEST_BACKOFF, this.backoff * 2);
-    return pause;
+    const pauseMilliseconds = this.nextBackoffMilliseconds;
+    this.nextBackoffMilliseconds = Math.min(
+      MAXIMUM_BACKOFF_MILLISECONDS,
+      this.nextBackoffMilliseconds * 2,
+    );
+    return pauseMilliseconds;
   }
 
   private async readSnapshot(): Promise<boolean> {
@@ -143,7 +149,7 @@
       return false;
     }
     this.snapshotVersion = version;
-    this.after = Math.max(version, this.after ?? 0);
+    this.appliedVersion = Math.max(version, this.appliedVersion ?? 0);
     this.listener.onSnapshot(rows);
     this.contact.prove(sentAt);
     return true;
@@ -152,7 +158,7 @@
   private async readPage(from: string): ReturnType<PartitionedTable['read']> {
     return await this.table.read({
       from,
-      limit: PAGE_ROWS,
+      limit: ROWS_PER_PAGE,
       partition: '',
       table: this.options.table,
     });
@@ -160,8 +166,8 @@
 
   private async readChanges(): Promise<boolean> {
     const sentAt = momentOf(this.timers);
-    const after = this.after ?? 0;
-    const answer = await this.table.changes({
+    const after = this.appliedVersion ?? 0;
+    const result = await this.table.changes({
       after,
       table: this.options.table,
       waitMilliseconds: this.options.waitMilliseconds,
@@ -169,31 +175,34 @@
     if (this.isStopped) {
       return false;
     }
-    if (answer.err || answer.val.kind === 'history-lost') {
-      this.noteGap(answer);
-      return answer.ok;
+    if (result.err || result.val.kind === 'history-lost') {
+      this.resetFeed(result);
+      return result.ok;
     }
-    this.takeChanges(answer.val.changes, sentAt);
+    this.applyChanges(result.val.changes, sentAt);
     return true;
   }
 
-  private takeChanges(changes: readonly RowChange[], sentAt: Moment): void {
-    const known = this.after ?? 0;
-    const fresh = changes.filter(change => versionOf(change) > known);
-    if (fresh.length > 0) {
-      this.after = Math.max(...fresh.map(versionOf));
-      this.listener.onChanges(fresh);
+  private applyChanges(changes: readonly RowChange[], sentAt: Moment): void {
+    const appliedVersion = this.appliedVersion ?? 0;
+    const newChanges = changes.filter(change => versionOf(change) > appliedVersion);
+    if (newChanges.length > 0) {
+      this.appliedVersion = Math.max(...newChanges.map(versionOf));
+      this.listener.onChanges(newChanges);
     }
     this.contact.prove(sentAt);
   }
 
-  private noteGap(answer: Result<unknown, PlatformError>): void {
-    this.after = undefined;
-    if (answer.err) {
-      this.logFailure(answer.val);
+  private resetFeed(result: Result<unknown, PlatformError>): void {
+    this.appliedVersion = undefined;
+    if (result.err) {
+      this.logFailure(result.val);
       return;
     }
-    this.logger.info({ event: 'feed-gap', table: this.options.table }, 'reading the table anew');
+    this.logger.info(
+      { event: 'feed-gap', table: this.options.table },
+      'feed history lost; reading a new snapshot',
+    );
   }
 
   private logFailure(failure: PlatformError): void {
@@ -205,18 +214,18 @@
     }
   }
 
-  private noteContact(isAnswered: boolean): void {
-    if (isAnswered === this.isInContact) {
+  private recordContact(hasSucceeded: boolean): void {
+    if (hasSucceeded === this.isInContact) {
       return;
     }
-    this.isInContact = isAnswered;
+    this.isInContact = hasSucceeded;
     this.logger.info(
       {
         contactMilliseconds: Math.round(Math.min(this.contactMilliseconds(), 1e9)),
-        event: isAnswered ? 'dependency-regained' : 'dependency-lost',
+        event: hasSucceeded ? 'dependency-regained' : 'dependency-lost',
         table: this.options.table,
       },
-      isAnswered ? 'the store answers' : 'the store is out of contact',
+      hasSucceeded ? 'the store answers' : 'the store does not answer',
     );
   }
 }
--- a/packages/gateway/src/store/watchedTable.ts
+++ b/packages/gateway/src/store/watchedTable.ts
@@ -10,7 +10,7 @@
   RangeRequest,
 } from '@zincring/platform';
 
-/** Takes in each call for the metrics. */
+/** Called with each completed store call, for the metrics. */
 export type StoreCallListener = (
   call: 'changes' | 'read' | 'transact',
   table: string,
@@ -18,83 +18,83 @@
   milliseconds: number,
 ) => void;
 
-/** Failures in a row after which the store counts as away. */
-const FAILURES_UNTIL_AWAY = 2;
-/** Time without an answer before the store may count as away, in milliseconds: many of its usual answers. */
-const SILENCE_UNTIL_AWAY = 250;
+/** Consecutive failures after which the store may count as unavailable. */
+const FAILURES_UNTIL_UNAVAILABLE = 2;
+/** Time without an answer after which the store may count as unavailable: much longer than its usual answers take. */
+const SILENCE_UNTIL_UNAVAILABLE_MILLISECONDS = 250;
 
-/** When a caller may come back while this instance lacks the store, in seconds: another one may reach it. */
-const AWAY_RETRY_SECONDS = 0.1;
-/** When a caller may come back to a store that is slow or over its rate, in seconds: that is so at every instance. */
-const BUSY_RETRY_SECONDS = 0.4;
+/** Retry delay for callers while this instance cannot reach the store: short, since another instance may reach it. */
+const UNAVAILABLE_RETRY_SECONDS = 0.1;
+/** Retry delay for callers while the store is slow or over its rate: longer, since all instances are affected. */
+const OVERLOADED_RETRY_SECONDS = 0.4;
 
 /**
- * The store, with a look at whether it answers: work that needs it can then be refused at once
- * instead of waiting in vain.
+ * Wraps the store and tracks whether it answers, so that requests that need it are refused
+ * immediately instead of waiting for a timeout.
  *
  * @example
  * const table = new WatchedTable(store, timers);
  * if (table.isAway) { return refusal; }
  */
 export class WatchedTable implements PartitionedTable {
-  private failures = 0;
-  private answeredAt: number;
+  private consecutiveFailures = 0;
+  private lastAnswerAt: number;
 
   public constructor(
     private readonly inner: PartitionedTable,
     private readonly timers: TimerService,
     private readonly onCall: StoreCallListener = () => undefined,
   ) {
-    this.answeredAt = timers.now();
+    this.lastAnswerAt = timers.now();
   }
 
-  /** Whether the store has not answered for a while although it was asked. */
+  /** Whether recent calls failed and the store has not answered for some time. */
   public get isAway(): boolean {
     return (
-      this.failures >= FAILURES_UNTIL_AWAY &&
-      this.timers.now() - this.answeredAt >= SILENCE_UNTIL_AWAY
+      this.consecutiveFailures >= FAILURES_UNTIL_UNAVAILABLE &&
+      this.timers.now() - this.lastAnswerAt >= SILENCE_UNTIL_UNAVAILABLE_MILLISECONDS
     );
   }
 
-  /** Time since the last answer, in milliseconds. */
+  /** Time since the last answer of the store, in milliseconds. */
   public silenceMilliseconds(): number {
-    return this.timers.now() - this.answeredAt;
+    return this.timers.now() - this.lastAnswerAt;
   }
 
-  /** When a caller may come back whose request failed for lack of an answer of the store, in seconds. */
+  /** Retry delay for a caller whose request failed because the store did not answer, in seconds. */
   public get retryAfterSeconds(): number {
-    return this.isAway ? AWAY_RETRY_SECONDS : BUSY_RETRY_SECONDS;
+    return this.isAway ? UNAVAILABLE_RETRY_SECONDS : OVERLOADED_RETRY_SECONDS;
   }
 
   public async read(request: RangeRequest): Promise<Result<RangePage, PlatformError>> {
-    return await this.watch('read', request.table, this.inner.read(request));
+    return await this.observeCall('read', request.table, this.inner.read(request));
   }
 
   public async changes(request: ChangesRequest): Promise<Result<ChangesAnswer, PlatformError>> {
-    return await this.watch('changes', request.table, this.inner.changes(request));
+    return await this.observeCall('changes', request.table, this.inner.changes(request));
   }
 
   public async transact(
     transaction: PartitionedTransaction,
   ): Promise<Result<PartitionedOutcome, PlatformError>> {
     const table = transaction.writes[0]?.table ?? transaction.removals[0]?.table ?? '';
-    return await this.watch('transact', table, this.inner.transact(transaction));
+    return await this.observeCall('transact', table, this.inner.transact(transaction));
   }
 
-  private async watch<Answer>(
+  private async observeCall<Answer>(
     call: 'changes' | 'read' | 'transact',
     table: string,
-    work: Promise<Result<Answer, PlatformError>>,
+    pendingAnswer: Promise<Result<Answer, PlatformError>>,
   ): Promise<Result<Answer, PlatformError>> {
     const startedAt = this.timers.now();
-    const answer = await work;
+    const answer = await pendingAnswer;
     const now = this.timers.now();
     this.onCall(call, table, answer.ok, now - startedAt);
     if (answer.ok) {
-      this.failures = 0;
-      this.answeredAt = now;
+      this.consecutiveFailures = 0;
+      this.lastAnswerAt = now;
     } else {
-      this.failures++;
+      this.consecutiveFailures++;
     }
     return answer;
   }
--- a/packages/gateway/tests/store/partitionSet.test.ts
+++ b/packages/gateway/tests/store/partitionSet.test.ts
@@ -5,7 +5,7 @@
 import { PartitionSet } from '../../src/store/partitionSet.js';
 
 describe(PartitionSet, () => {
-  it('puts a key always into the same partition', () => {
+  it('maps a key to the same partition every time', () => {
     const first = new PartitionSet('budgets', 16);
     const second = new PartitionSet('budgets', 16);
     expect(first.of('program-7')).toBe(second.of('program-7'));
@@ -18,11 +18,11 @@
     expect(used.size).toBe(16);
   });
 
-  it('needs a partition', () => {
+  it('throws when the set has no partition', () => {
     expect(() => new PartitionSet('budgets', 0).of('program-7')).toThrow(RangeError);
   });
 
-  it('keeps the tables apart, since a busy row delays all of its partition', () => {
+  it('gives each table its own partitions, since a busy row delays its whole partition', () => {
     const shared = turnPartitions.names.filter(name => budgetPartitions.names.includes(name));
     expect(shared).toEqual([]);
   });
--- a/packages/gateway/tests/store/rowSweeper.test.ts
+++ b/packages/gateway/tests/store/rowSweeper.test.ts
@@ -17,11 +17,11 @@
   beforeEach(() => {
     timers = new ManualTimerService();
     store = new MemoryTable(timers);
-    const parts = { logger: silentLogger, random: () => 0, table: store.client(), timers };
-    sweeper = new RowSweeper(parts, [{ ...sweptTurns, partitions: ['0'] }]);
+    const dependencies = { logger: silentLogger, random: () => 0, table: store.client(), timers };
+    sweeper = new RowSweeper(dependencies, [{ ...sweptTurns, partitions: ['0'] }]);
   });
 
-  function putTurn(id: string, expiresAt: number, bytes: number): readonly string[] {
+  function storeTurn(id: string, expiresAt: number, bytes: number): readonly string[] {
     const turn = {
       ancestors: [],
       expiresAt,
@@ -36,56 +36,56 @@
     });
   }
 
-  function isKept(key: string): boolean {
+  function isStored(key: string): boolean {
     return store.get({ key, partition: '0', table: TURN_TABLE }) !== undefined;
   }
 
-  it('removes turns that have ended with all their rows, and keeps the others', async () => {
-    const ended = putTurn('a', timers.wallClock() - 60_000, 150_000);
-    const kept = putTurn('b', timers.wallClock() + 60_000, 150_000);
-    expect(ended.length).toBeGreaterThan(1);
-    await finishWithin(timers, sweeper.look(), 1_000);
-    expect(ended.map(isKept)).toEqual(ended.map(() => false));
-    expect(kept.map(isKept)).toEqual(kept.map(() => true));
+  it('removes expired turns with all their rows and keeps the others', async () => {
+    const expiredKeys = storeTurn('a', timers.wallClock() - 60_000, 150_000);
+    const unexpiredKeys = storeTurn('b', timers.wallClock() + 60_000, 150_000);
+    expect(expiredKeys.length).toBeGreaterThan(1);
+    await finishWithin(timers, sweeper.sweepPage(), 1_000);
+    expect(expiredKeys.map(isStored)).toEqual(expiredKeys.map(() => false));
+    expect(unexpiredKeys.map(isStored)).toEqual(unexpiredKeys.map(() => true));
   });
 
-  it('removes more rows a second than a dozen instances write', async () => {
+  it('removes more rows per second than a dozen instances write', async () => {
     for (let index = 0; index < 300; index++) {
-      putTurn(`t${String(index).padStart(3, '0')}`, timers.wallClock() - 60_000, 10);
+      storeTurn(`t${String(index).padStart(3, '0')}`, timers.wallClock() - 60_000, 10);
     }
     sweeper.start();
     await timers.advance(20_000);
     sweeper.stop();
-    // Sixty turns a second end, shared by a dozen instances and three tables.
-    const left = Array.from({ length: 300 }, (_unused, index) => index).filter(index =>
-      isKept(`t${String(index).padStart(3, '0')}`),
+    // Sixty turns per second expire; a dozen instances sweep three tables.
+    const remaining = Array.from({ length: 300 }, (_unused, index) => index).filter(index =>
+      isStored(`t${String(index).padStart(3, '0')}`),
     );
-    expect(300 - left.length).toBeGreaterThanOrEqual((20 * 60 * 3) / 12);
+    expect(300 - remaining.length).toBeGreaterThanOrEqual((20 * 60 * 3) / 12);
   });
 
-  it('goes through a partition page by page', async () => {
+  it('sweeps a partition page by page', async () => {
     const keys = Array.from({ length: 50 }, (_unused, index) => {
       const id = `t${String(index).padStart(2, '0')}`;
-      return putTurn(id, timers.wallClock() - 60_000, 10)[0]!;
+      return storeTurn(id, timers.wallClock() - 60_000, 10)[0]!;
     });
-    for (let look = 0; look < 4; look++) {
-      await finishWithin(timers, sweeper.look(), 1_000);
+    for (let page = 0; page < 4; page++) {
+      await finishWithin(timers, sweeper.sweepPage(), 1_000);
     }
-    expect(keys.filter(isKept)).toEqual([]);
+    expect(keys.filter(isStored)).toEqual([]);
   });
 
-  it('reads the end of an account', () => {
+  it('reads the expiry of a budget', () => {
     const address = { key: 'p', partition: '0', table: sweptBudgets.table };
     store.put(address, { expiresAt: 7, holds: {}, spent: 0 });
     expect(sweptBudgets.expiresAt(store.get(address)!)).toBe(7);
   });
 
-  it('tries later when the store is away', async () => {
-    const [key] = putTurn('a', timers.wallClock() - 60_000, 10);
+  it('retries later when the store is unavailable', async () => {
+    const [key] = storeTurn('a', timers.wallClock() - 60_000, 10);
     store.faults.isRefusing = true;
-    await finishWithin(timers, sweeper.look(), 1_000);
+    await finishWithin(timers, sweeper.sweepPage(), 1_000);
     store.faults.isRefusing = false;
-    await finishWithin(timers, sweeper.look(), 1_000);
-    expect(isKept(key!)).toBe(false);
+    await finishWithin(timers, sweeper.sweepPage(), 1_000);
+    expect(isStored(key!)).toBe(false);
   });
 });
--- a/packages/gateway/tests/store/watchedTable.test.ts
+++ b/packages/gateway/tests/store/watchedTable.test.ts
@@ -8,7 +8,7 @@
 const range = { partition: 'p', table: 't' };
 
 describe(WatchedTable, () => {
-  it('sends callers elsewhere at once while this instance lacks the store', async () => {
+  it('returns a short retry delay while this instance cannot reach the store', async () => {
     const timers = new ManualTimerService();
     const store = new MemoryTable(timers);
     const table = new WatchedTable(store.client(), timers);
@@ -21,7 +21,7 @@
     expect(table.retryAfterSeconds).toBeLessThanOrEqual(0.1);
   });
 
-  it('spreads callers while the store answers some calls and refuses others', async () => {
+  it('returns a longer retry delay while the store answers some calls and refuses others', async () => {
     const timers = new ManualTimerService();
     const store = new MemoryTable(timers);
     const table = new WatchedTable(store.client(), timers);
