--- a/packages/gateway/src/configuration/configurationFollower.ts
+++ b/packages/gateway/src/configuration/configurationFollower.ts
@@ -6,29 +6,29 @@
 import { TableFollower } from '../store/tableFollower.js';
 import { ConfigurationIndex } from './configurationIndex.js';
 
-/** Where the operator's configuration lies, and how to read it. */
+/** Location of the operator's configuration in the store, and its decoder. */
 export interface ConfigurationSource {
   readonly table: string;
   readonly key: string;
-  /** Reads a stored configuration; the failure says what is wrong with it. */
+  /** Decodes a stored configuration; the failure describes what is wrong with it. */
   decode(value: Buffer): Result<GatewayConfiguration, string>;
 }
 
-/** Times of a {@link ConfigurationFollower}. */
+/** Options of a {@link ConfigurationFollower}. */
 export interface ConfigurationFollowerOptions {
   /** Age up to which the configuration counts as current, in milliseconds. */
   readonly freshMilliseconds: number;
-  /** Age up to which routes that need no key are served, in milliseconds. */
+  /** Age up to which routes that need no key are served with the configuration, in milliseconds. */
   readonly usableMilliseconds: number;
-  /** Longest wait of one request for changes, in milliseconds. */
+  /** Maximum time for which the store holds a request for changes open, in milliseconds. */
   readonly waitMilliseconds: number;
 }
 
-/** First pause after a failed read, in milliseconds: several tries fit the time a key may outlive its withdrawal. */
-const BACKOFF = 50;
+/** First pause after a failed read: several retries fit into the time for which a withdrawn key may still be accepted. */
+const INITIAL_BACKOFF_MILLISECONDS = 50;
 
 /**
- * Follows the operator's configuration. Within one run of the process the version only rises.
+ * Follows the operator's configuration. The version in force never decreases while the process runs.
  *
  * @example
  * const follower = new ConfigurationFollower(table, source, timers, logger, options);
@@ -51,33 +51,35 @@
       timers,
       logger,
       {
-        backoffMilliseconds: BACKOFF,
+        backoffMilliseconds: INITIAL_BACKOFF_MILLISECONDS,
         pauseMilliseconds: 0,
         table: source.table,
         waitMilliseconds: options.waitMilliseconds,
       },
       {
         onChanges: changes => {
-          this.takeRows(changes.flatMap(change => (change.kind === 'written' ? [change.row] : [])));
+          this.applyRows(
+            changes.flatMap(change => (change.kind === 'written' ? [change.row] : [])),
+          );
         },
         onSnapshot: rows => {
-          this.takeRows(rows);
+          this.applyRows(rows);
         },
       },
     );
   }
 
-  /** The configuration in force; `undefined` before the first one is known. */
+  /** The configuration in force; `undefined` before the first one was read. */
   public get current(): ConfigurationIndex | undefined {
     return this.index;
   }
 
-  /** Age of the last proof that the configuration is current, in milliseconds. */
+  /** Age of the last confirmation that the configuration is current, in milliseconds. */
   public ageMilliseconds(): number {
     return this.follower.contactMilliseconds();
   }
 
-  /** Whether the configuration counts as current: withdrawn keys are known. */
+  /** Whether the configuration counts as current, so that no withdrawn key is accepted. */
   public isFresh(): boolean {
     return this.index !== undefined && this.ageMilliseconds() < this.options.freshMilliseconds;
   }
@@ -87,53 +89,57 @@
     return this.index !== undefined && this.ageMilliseconds() < this.options.usableMilliseconds;
   }
 
-  /** Calls the listener with each new configuration. */
+  /** Calls the listener with each later configuration that comes into force. */
   public subscribe(listener: (index: ConfigurationIndex) => void): void {
     this.listeners.push(listener);
   }
 
-  /** Begins to follow. */
+  /** Starts to follow the configuration. */
   public start(): void {
     this.follower.start();
   }
 
-  /** Ends: the configuration grows old. */
+  /** Stops; the configuration in force then ages. */
   public stop(): void {
     this.follower.stop();
   }
 
-  /** Reads the configuration at once and tells whether it is fresh by the end of a wait. */
+  /** Reads the configuration immediately; returns whether it is fresh after the read or the given wait, whichever ends first. */
   public async refresh(waitMilliseconds: number): Promise<boolean> {
-    const limit = new Promise<void>(resolve => {
+    const timeout = new Promise<void>(resolve => {
       this.timers.after(waitMilliseconds, resolve);
     });
-    await Promise.race([this.follower.refresh(), limit]);
+    await Promise.race([this.follower.refresh(), timeout]);
     return this.isFresh();
   }
 
-  private takeRows(rows: readonly PartitionedRow[]): void {
+  private applyRows(rows: readonly PartitionedRow[]): void {
     for (const row of rows.filter(({ key }) => key === this.source.key)) {
       const decoded = this.source.decode(row.value);
       if (decoded.ok) {
-        this.take(decoded.val);
+        this.applyConfiguration(decoded.val);
       } else {
         this.logger.error(
           { event: 'configuration-unreadable', failure: decoded.val, rowVersion: row.version },
-          'keeping the configuration in force',
+          'stored configuration is invalid; keeping the one in force',
         );
       }
     }
   }
 
-  private take(configuration: GatewayConfiguration): void {
-    const known: ConfigurationVersion | undefined = this.index?.configuration.version;
-    if (known !== undefined && configuration.version <= known) {
+  private applyConfiguration(configuration: GatewayConfiguration): void {
+    const previousVersion: ConfigurationVersion | undefined = this.index?.configuration.version;
+    if (previousVersion !== undefined && configuration.version <= previousVersion) {
       return;
     }
     this.index = new ConfigurationIndex(configuration);
     this.logger.info(
-      { event: 'configuration-in-force', previous: known, version: configuration.version },
-      'a configuration is in force',
+      {
+        event: 'configuration-in-force',
+        previous: previousVersion,
+        version: configuration.version,
+      },
+      'a new configuration is in force',
     );
     for (const listener of this.listeners) {
       listener(this.index);
--- a/packages/gateway/src/configuration/configurationIndex.ts
+++ b/packages/gateway/src/configuration/configurationIndex.ts
@@ -8,13 +8,13 @@
 } from './gatewayConfiguration.js';
 
 /**
- * One configuration, arranged for the questions that each request asks.
+ * Indexes one configuration for the lookups of each request.
  *
  * @example
  * const route = new ConfigurationIndex(configuration).findRoute('agents.example', '/summaries/7');
  */
 export class ConfigurationIndex {
-  /** Routes of a host, longest prefix first. */
+  /** Routes by host, those with longer path prefixes first. */
   private readonly routesByHost = new Map<string, GatewayRoute[]>();
   private readonly workspacesByKey = new Map<string, GatewayWorkspace>();
   private readonly servicesByName = new Map<ServiceName, GatewayService>();
@@ -38,17 +38,17 @@
     }
   }
 
-  /** The route with the longest prefix of the path among those of the host. */
+  /** Finds the route of a host with the longest prefix that matches the path. */
   public findRoute(host: string, path: string): GatewayRoute | undefined {
     return this.routesByHost.get(host)?.find(route => path.startsWith(route.pathPrefix));
   }
 
-  /** The workspace that holds a key. */
+  /** Finds the workspace to which a key belongs. */
   public findWorkspace(key: string): GatewayWorkspace | undefined {
     return this.workspacesByKey.get(key);
   }
 
-  /** The description of a service. */
+  /** Finds the description of a service. */
   public findService(name: ServiceName): GatewayService | undefined {
     return this.servicesByName.get(name);
   }
--- a/packages/gateway/src/configuration/contactAge.ts
+++ b/packages/gateway/src/configuration/contactAge.ts
@@ -1,55 +1,56 @@
 import type { TimerService } from '@zincring/core';
 
-/** A moment on both clocks. */
-export interface Moment {
-  readonly steady: number;
+/** Simultaneous reading of both clocks, in milliseconds. */
+export interface ClockReading {
+  readonly monotonic: number;
   readonly wall: number;
 }
 
 /**
- * Reads both clocks.
+ * Reads the monotonic clock and the wall clock.
  *
  * @example
- * const sentAt = momentOf(timers);
+ * const sentAt = readClocks(timers);
  */
-export function momentOf(timers: TimerService): Moment {
-  return { steady: timers.now(), wall: timers.wallClock() };
+export function readClocks(timers: TimerService): ClockReading {
+  return { monotonic: timers.now(), wall: timers.wallClock() };
 }
 
 /**
- * Time that has passed at most, in milliseconds: the steady clock stands still while an instance is
- * suspended, and the wall clock may be set back, so the larger of the two elapsed times counts.
+ * Returns an upper estimate of the elapsed time, in milliseconds. The monotonic clock stops while an
+ * instance is suspended, and the wall clock may be set back, so the larger of the two differences
+ * counts.
  *
  * @example
  * elapsedSince(timers, sentAt); // 12
  */
-export function elapsedSince(timers: TimerService, { steady, wall }: Moment): number {
-  return Math.max(timers.now() - steady, timers.wallClock() - wall);
+export function elapsedSince(timers: TimerService, { monotonic, wall }: ClockReading): number {
+  return Math.max(timers.now() - monotonic, timers.wallClock() - wall);
 }
 
 /**
- * Time since the last proof that what this process believes was current, in milliseconds. A proof
- * is a request to the store that was answered; it counts from when the request was sent.
+ * Tracks the time since the data that this process has read from the store was last confirmed to be
+ * current. An answered request is a confirmation; it counts from the time at which it was sent.
  *
  * @example
  * const age = new ContactAge(timers);
- * age.prove(sentAt);
+ * age.confirm(sentAt);
  * age.milliseconds(); // 12
  */
 export class ContactAge {
-  private provenAt: Moment | undefined;
+  private confirmedAt: ClockReading | undefined;
 
   public constructor(private readonly timers: TimerService) {}
 
-  /** Takes in an answered request by when it was sent; older proofs change nothing. */
-  public prove(sentAt: Moment): void {
-    if (this.provenAt === undefined || sentAt.steady > this.provenAt.steady) {
-      this.provenAt = sentAt;
+  /** Records an answered request by the time at which it was sent; older confirmations have no effect. */
+  public confirm(sentAt: ClockReading): void {
+    if (this.confirmedAt === undefined || sentAt.monotonic > this.confirmedAt.monotonic) {
+      this.confirmedAt = sentAt;
     }
   }
 
-  /** Age of the last proof; infinite before the first one. */
+  /** Age of the last confirmation, in milliseconds; infinite before the first one. */
   public milliseconds(): number {
-    return this.provenAt === undefined ? Infinity : elapsedSince(this.timers, this.provenAt);
+    return this.confirmedAt === undefined ? Infinity : elapsedSince(this.timers, this.confirmedAt);
   }
 }
--- a/packages/gateway/src/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/configuration/gatewayConfiguration.ts
@@ -1,22 +1,22 @@
 import type { Brand, ConfigurationVersion, ServiceName, WorkspaceName } from '@zincring/core';
 
-/** Name of a route, as the operator gives it. */
+/** Name of a route, as given by the operator. */
 export type RouteName = Brand<string, 'RouteName'>;
 
 /**
- * What may be repeated: `safe` requests may run again, `unsafe` ones run at most once, and
- * `streaming` ones run at most once unless the route says that they may be resumed.
+ * Whether the requests of a route may be repeated: `safe` requests may run again, `unsafe` ones run
+ * at most once, and `streaming` ones run at most once unless the route is resumable.
  */
 export type RouteKind = 'safe' | 'streaming' | 'unsafe';
 
-/** One service of a route and its share of the requests. */
+/** A service of a route and its share of the requests. */
 export interface WeightedService {
   readonly service: ServiceName;
   /** Relative to the weights of the other services. */
   readonly weight: number;
 }
 
-/** Where requests of a host and path prefix go. */
+/** Maps requests of a host and path prefix to services. */
 export interface GatewayRoute {
   readonly name: RouteName;
   readonly host: string;
@@ -24,37 +24,37 @@
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly services: readonly WeightedService[];
-  /** Longest time that a caller is kept waiting, in milliseconds. */
+  /** Maximum time for which a caller waits for an answer, in milliseconds. */
   readonly timeoutMilliseconds: number;
-  /** Time within which an answer is of full use to its caller, in milliseconds. */
+  /** Latency target: time within which an answer is fully useful to its caller, in milliseconds. */
   readonly targetMilliseconds: number;
-  /** Replicas that may run one request, at most. */
+  /** Maximum number of replicas that may run one request. */
   readonly maximumAttempts: number;
-  /** Rank of its requests; 0 comes first. */
+  /** Priority of its requests; 0 is the highest. */
   readonly priority: number;
-  /** Whether no key is asked for. */
+  /** Whether requests need no API key. */
   readonly isOpen: boolean;
-  /** Whether replicas answer faster when they have handled the same object before. */
+  /** Whether requests for an object prefer a replica that has handled it before, as that one answers faster. */
   readonly isSticky: boolean;
-  /** Whether an interrupted stream may go on at another replica. */
+  /** Whether an interrupted stream may be resumed at another replica. */
   readonly isResumable: boolean;
-  /** Whether the system keeps what was said and callers send only what is new. */
+  /** Whether the gateway stores turns, so that callers send only the new input of each turn. */
   readonly keepsTurns: boolean;
-  /** Time for which turns are kept, in milliseconds. */
+  /** Time for which turns are stored, in milliseconds. */
   readonly retentionMilliseconds: number;
 }
 
-/** What the engines of a service can hold. */
+/** Capacity of each model engine of a service. */
 export interface EngineDescription {
-  /** Requests that run at the same time. */
+  /** Number of requests that run concurrently. */
   readonly slots: number;
-  /** Tokens that fit its memory. */
+  /** Tokens that fit into its cache memory. */
   readonly cacheTokens: number;
-  /** Tokens that one event of a stream stands for. */
+  /** Tokens that one event of a stream represents. */
   readonly tokensPerEvent: number;
 }
 
-/** A service that routes lead to. */
+/** A service to which routes send requests. */
 export interface GatewayService {
   readonly name: ServiceName;
   /** Connections that each replica accepts from all callers together. */
@@ -63,29 +63,29 @@
   readonly engine: EngineDescription | undefined;
 }
 
-/** A workspace with its keys and its rate. */
+/** A workspace with its API keys and its rate limit. */
 export interface GatewayWorkspace {
   readonly name: WorkspaceName;
   readonly keys: readonly string[];
   /** Takes precedence over the priority of the route. */
   readonly priority: number | undefined;
-  /** Requests a second over all instances; 0 when unlimited. */
+  /** Requests per second over all instances; 0 when unlimited. */
   readonly ratePerSecond: number;
-  /** Requests that may come at once. */
+  /** Requests that may arrive at the same time. */
   readonly burst: number;
 }
 
-/** Bounds on what callers send. */
+/** Limits on the requests and connections of callers. */
 export interface CallerLimits {
   readonly maximumHeaderBytes: number;
   readonly maximumBodyBytes: number;
-  /** Time in which the headers of a request must arrive. */
+  /** Time within which the headers of a request must arrive. */
   readonly headerTimeoutMilliseconds: number;
   /** Time for which a connection may stay idle. */
   readonly idleTimeoutMilliseconds: number;
 }
 
-/** One version of the operator's configuration, in full. */
+/** One complete version of the operator's configuration. */
 export interface GatewayConfiguration {
   readonly version: ConfigurationVersion;
   readonly routes: readonly GatewayRoute[];
--- a/packages/gateway/src/limits/workspaceCredit.ts
+++ b/packages/gateway/src/limits/workspaceCredit.ts
@@ -1,6 +1,6 @@
 import type { TimerService } from '@zincring/core';
 
-import type { Moment } from '../configuration/contactAge.js';
+import type { ClockReading } from '../configuration/contactAge.js';
 import type { RateLimit } from './workspaceBucket.js';
 
 import { elapsedSince } from '../configuration/contactAge.js';
@@ -14,7 +14,7 @@
 
 /** Time at which a grant was requested, and time for which the store counts it, in milliseconds. */
 export interface GrantTimes {
-  readonly sentAt: Moment;
+  readonly sentAt: ClockReading;
   readonly storeValidMilliseconds: number;
 }
 
@@ -47,7 +47,7 @@
   /** Time until which requests are denied without a call to the store, on the monotonic clock. */
   public deniedUntil = -Infinity;
   private unspentCredit = 0;
-  private grantRequestedAt: Moment | undefined;
+  private grantRequestedAt: ClockReading | undefined;
   private validMilliseconds = CREDIT_VALIDITY_MILLISECONDS.lowDemand;
   private demandPerSecond = 0;
   private demandUpdatedAt: number;
--- a/packages/gateway/src/limits/workspaceRates.ts
+++ b/packages/gateway/src/limits/workspaceRates.ts
@@ -9,7 +9,7 @@
 import type { CreditOutcome } from './workspaceCredit.js';
 import type { CreditGrant, RateLimit, WorkspaceBucket } from './workspaceBucket.js';
 
-import { elapsedSince, momentOf } from '../configuration/contactAge.js';
+import { elapsedSince, readClocks } from '../configuration/contactAge.js';
 import { absentRow, editRow } from '../store/editRow.js';
 import { grantCredit, IMMEDIATE_GRANT_MILLISECONDS } from './workspaceBucket.js';
 import { ProgramSizeEstimator } from './programSizeEstimator.js';
@@ -255,7 +255,7 @@
 
   private async draw(state: BucketState): Promise<void> {
     const { credit } = state;
-    let sentAt = momentOf(this.dependencies.timers);
+    let sentAt = readClocks(this.dependencies.timers);
     const { storeValidMilliseconds } = credit;
     let unspentWhenSent = credit.unspent;
     const edited = await editRow<CreditGrant>(
@@ -266,7 +266,7 @@
       (row, storeTime) => {
         this.recordStoreTime(storeTime);
         // If the edit is retried, the write that takes effect is the last one sent.
-        sentAt = momentOf(this.dependencies.timers);
+        sentAt = readClocks(this.dependencies.timers);
         unspentWhenSent = credit.unspent;
         const grant = this.computeGrant(parseBucket(row.value), credit, storeValidMilliseconds);
         if (!grant.isChanged) {
--- a/packages/gateway/src/store/tableFollower.ts
+++ b/packages/gateway/src/store/tableFollower.ts
@@ -8,9 +8,9 @@
 
 import { failureText } from '@zincring/core';
 
-import type { Moment } from '../configuration/contactAge.js';
+import type { ClockReading } from '../configuration/contactAge.js';
 
-import { ContactAge, momentOf } from '../configuration/contactAge.js';
+import { ContactAge, readClocks } from '../configuration/contactAge.js';
 
 /** Receives the rows and changes that a {@link TableFollower} reads. */
 export interface TableListener {
@@ -131,7 +131,7 @@
   }
 
   private async readSnapshot(): Promise<boolean> {
-    const sentAt = momentOf(this.timers);
+    const sentAt = readClocks(this.timers);
     const rows: PartitionedRow[] = [];
     let version: number | undefined;
     for (let from: string | undefined = ''; from !== undefined;) {
@@ -151,7 +151,7 @@
     this.snapshotVersion = version;
     this.appliedVersion = Math.max(version, this.appliedVersion ?? 0);
     this.listener.onSnapshot(rows);
-    this.contact.prove(sentAt);
+    this.contact.confirm(sentAt);
     return true;
   }
 
@@ -165,7 +165,7 @@
   }
 
   private async readChanges(): Promise<boolean> {
-    const sentAt = momentOf(this.timers);
+    const sentAt = readClocks(this.timers);
     const after = this.appliedVersion ?? 0;
     const result = await this.table.changes({
       after,
@@ -183,14 +183,14 @@
     return true;
   }
 
-  private applyChanges(changes: readonly RowChange[], sentAt: Moment): void {
+  private applyChanges(changes: readonly RowChange[], sentAt: ClockReading): void {
     const appliedVersion = this.appliedVersion ?? 0;
     const newChanges = changes.filter(change => versionOf(change) > appliedVersion);
     if (newChanges.length > 0) {
       this.appliedVersion = Math.max(...newChanges.map(versionOf));
       this.listener.onChanges(newChanges);
     }
-    this.contact.prove(sentAt);
+    this.contact.confirm(sentAt);
   }
 
   private resetFeed(result: Result<unknown, PlatformError>): void {
--- a/packages/gateway/tests/configuration/configurationFollower.test.ts
+++ b/packages/gateway/tests/configuration/configurationFollower.test.ts
@@ -12,8 +12,8 @@
   sampleWorkspace,
 } from '../support/samples.js';
 
-const FRESH = 3_000;
-const REVOCATION = 5_000;
+const FRESH_MILLISECONDS = 3_000;
+const REVOCATION_BOUND_MILLISECONDS = 5_000;
 
 describe(ConfigurationFollower, () => {
   let timers: ManualTimerService;
@@ -28,32 +28,32 @@
       sampleConfigurationSource,
       timers,
       silentLogger,
-      { freshMilliseconds: FRESH, usableMilliseconds: 5_000, waitMilliseconds: 1_000 },
+      { freshMilliseconds: FRESH_MILLISECONDS, usableMilliseconds: 5_000, waitMilliseconds: 1_000 },
     );
     store.put(configurationAddress, sampleConfiguration(7));
     follower.start();
     await timers.advance(100);
   });
 
-  it('knows nothing before the first answer', () => {
-    const unknowing = new ConfigurationFollower(
+  it('has no configuration before the first answer', () => {
+    const unstartedFollower = new ConfigurationFollower(
       store.client(),
       sampleConfigurationSource,
       timers,
       silentLogger,
-      { freshMilliseconds: FRESH, usableMilliseconds: 5_000, waitMilliseconds: 1_000 },
+      { freshMilliseconds: FRESH_MILLISECONDS, usableMilliseconds: 5_000, waitMilliseconds: 1_000 },
     );
-    expect(unknowing.current).toBeUndefined();
-    expect(unknowing.isFresh()).toBe(false);
+    expect(unstartedFollower.current).toBeUndefined();
+    expect(unstartedFollower.isFresh()).toBe(false);
   });
 
-  it('puts a new version in force at once', async () => {
+  it('puts a new version in force immediately', async () => {
     store.put(configurationAddress, sampleConfiguration(9));
     await timers.advance(50);
     expect(follower.current?.configuration.version).toBe(9);
   });
 
-  it('never goes back to an older version', async () => {
+  it('never returns to an older version', async () => {
     store.put(configurationAddress, sampleConfiguration(5));
     await timers.advance(200);
     store.compact();
@@ -61,35 +61,35 @@
     expect(follower.current?.configuration.version).toBe(7);
   });
 
-  it('keeps the version in force when a stored one cannot be read', async () => {
+  it('keeps the version in force when a stored one cannot be decoded', async () => {
     store.put(configurationAddress, 'no configuration');
     await timers.advance(200);
     expect(follower.current?.configuration.version).toBe(7);
     expect(follower.isFresh()).toBe(true);
   });
 
-  it('stays fresh through quiet times and a lost history', async () => {
+  it('stays fresh without changes and after the feed history is lost', async () => {
     await timers.advance(20_000);
     store.compact();
     await timers.advance(20_000);
     expect(follower.isFresh()).toBe(true);
   });
 
-  const troubles: readonly (readonly [string, (faults: StoreFaults) => void])[] = [
+  const outages: readonly (readonly [string, (faults: StoreFaults) => void])[] = [
     ['silent', faults => (faults.isSilent = true)],
     ['refusing', faults => (faults.isRefusing = true)],
   ];
 
-  it.each(troubles)('stops counting as fresh while the store is %s', async (_name, begin) => {
-    begin(store.faults);
+  it.each(outages)('becomes stale while the store is %s', async (_name, startOutage) => {
+    startOutage(store.faults);
     store.put(configurationAddress, sampleConfiguration(8, { workspaces: [] }));
-    const acknowledgedAt = timers.now();
+    const withdrawnAt = timers.now();
     for (let elapsed = 0; elapsed < 8_000; elapsed += 50) {
       await timers.advance(50);
-      const isLate = timers.now() - acknowledgedAt > REVOCATION;
-      const wouldServe =
+      const isPastBound = timers.now() - withdrawnAt > REVOCATION_BOUND_MILLISECONDS;
+      const acceptsKey =
         follower.isFresh() && follower.current?.findWorkspace('key-of-clerks') !== undefined;
-      expect(isLate && wouldServe).toBe(false);
+      expect(isPastBound && acceptsKey).toBe(false);
     }
     store.faults.isSilent = false;
     store.faults.isRefusing = false;
@@ -98,10 +98,10 @@
     expect(follower.current?.configuration.version).toBe(8);
   });
 
-  it('learns of a withdrawn key although the feed misses a second of changes', async () => {
+  it('applies a key withdrawal even if the feed misses one second of changes', async () => {
     store.faults.hasDeafFeeds = true;
-    const withdrawn = sampleConfiguration(8, { workspaces: [sampleWorkspace({ keys: [] })] });
-    store.put(configurationAddress, withdrawn);
+    const withoutKey = sampleConfiguration(8, { workspaces: [sampleWorkspace({ keys: [] })] });
+    store.put(configurationAddress, withoutKey);
     await timers.advance(1_000);
     store.compact();
     store.faults.hasDeafFeeds = false;
@@ -109,19 +109,19 @@
     expect(follower.current?.findWorkspace('key-of-clerks')).toBeUndefined();
   });
 
-  it('counts the time of a suspension, which the steady clock does not', () => {
+  it('counts time in suspension, which the monotonic clock does not', () => {
     timers.stepWallClock(4_000);
     expect(follower.isFresh()).toBe(false);
   });
 
-  it('is not made fresh by a wall clock that is set back', async () => {
+  it('does not become fresh when the wall clock is set back', async () => {
     store.faults.isSilent = true;
     await timers.advance(4_500);
     timers.stepWallClock(-60_000);
     expect(follower.isFresh()).toBe(false);
   });
 
-  it('looks at once when asked to', async () => {
+  it('reads the configuration immediately on refresh', async () => {
     timers.skip(4_000);
     expect(follower.isFresh()).toBe(false);
     const refreshed = follower.refresh(150);
