--- a/packages/gateway/src/observation/decisionLog.ts
+++ b/packages/gateway/src/observation/decisionLog.ts
@@ -1,61 +1,61 @@
 import type { LogFields, Logger, TimerService } from '@zincring/core';
 
-/** Bounds of a {@link DecisionLog}, in lines a second. */
+/** Bounds of a {@link DecisionLog}, in lines per second. */
 export interface DecisionLogOptions {
-  /** Lines on what went as usual; beyond it they are dropped. */
-  readonly usualPerSecond: number;
-  /** Lines on failures and changes; far above what a healthy instance writes. */
-  readonly failuresPerSecond: number;
+  /** Bound on lines of level `info`; further ones are dropped. */
+  readonly infoLinesPerSecond: number;
+  /** Bound on warnings and errors: far above the rate at which a healthy instance writes them. */
+  readonly failureLinesPerSecond: number;
 }
 
-/** Options that keep an instance's log below some hundred kilobytes a second at the worst. */
+/** Options that keep the log of an instance below some hundred kilobytes per second in the worst case. */
 export const defaultDecisionLogOptions: DecisionLogOptions = {
-  failuresPerSecond: 200,
-  usualPerSecond: 40,
+  failureLinesPerSecond: 200,
+  infoLinesPerSecond: 40,
 };
 
-/** How often dropped lines are reported, in milliseconds. */
-const REPORT_MILLISECONDS = 5_000;
+/** Interval between reports of dropped lines. */
+const REPORT_INTERVAL_MILLISECONDS = 5_000;
 
-/** Lines that may still be written in the second under way. */
-class LineAllowance {
-  private second = -Infinity;
-  private left = 0;
+/** Limits the lines written in each second. */
+class LineLimiter {
+  private currentSecond = -Infinity;
+  private remaining = 0;
 
-  public constructor(private readonly perSecond: number) {}
+  public constructor(private readonly linesPerSecond: number) {}
 
-  public take(now: number): boolean {
-    const second = Math.floor(now / 1_000);
-    if (second !== this.second) {
-      this.second = second;
-      this.left = this.perSecond;
+  public tryAcquire(now: number): boolean {
+    const currentSecond = Math.floor(now / 1_000);
+    if (currentSecond !== this.currentSecond) {
+      this.currentSecond = currentSecond;
+      this.remaining = this.linesPerSecond;
     }
-    this.left--;
-    return this.left >= 0;
+    this.remaining--;
+    return this.remaining >= 0;
   }
 }
 
 /**
- * A logger whose volume is bounded: lines at level `info` are sampled under load, warnings and
- * errors have a bound of their own, and what was dropped is counted and reported.
+ * Logger with a bounded rate. Lines of level `info` share one bound, warnings and errors another;
+ * lines beyond a bound are dropped, counted and reported. Lines of level `debug` are not bounded.
  *
  * @example
  * const log = new DecisionLog(createLogger('info'), timers, defaultDecisionLogOptions);
  */
 export class DecisionLog implements Logger {
-  private readonly usual: LineAllowance;
-  private readonly failures: LineAllowance;
-  private dropped = { failures: 0, usual: 0 };
+  private readonly infoLimiter: LineLimiter;
+  private readonly failureLimiter: LineLimiter;
+  private droppedLines = { failures: 0, usual: 0 };
 
   public constructor(
     private readonly inner: Logger,
     private readonly timers: TimerService,
     private readonly options: DecisionLogOptions,
   ) {
-    this.usual = new LineAllowance(options.usualPerSecond);
-    this.failures = new LineAllowance(options.failuresPerSecond);
-    timers.every(REPORT_MILLISECONDS, () => {
-      this.report();
+    this.infoLimiter = new LineLimiter(options.infoLinesPerSecond);
+    this.failureLimiter = new LineLimiter(options.failureLinesPerSecond);
+    timers.every(REPORT_INTERVAL_MILLISECONDS, () => {
+      this.reportDroppedLines();
     });
   }
 
@@ -64,39 +64,42 @@
   }
 
   public info(fields: LogFields, message: string): void {
-    if (this.usual.take(this.timers.now())) {
+    if (this.infoLimiter.tryAcquire(this.timers.now())) {
       this.inner.info(fields, message);
       return;
     }
-    this.dropped.usual++;
+    this.droppedLines.usual++;
   }
 
   public warn(fields: LogFields, message: string): void {
-    if (this.failures.take(this.timers.now())) {
+    if (this.failureLimiter.tryAcquire(this.timers.now())) {
       this.inner.warn(fields, message);
       return;
     }
-    this.dropped.failures++;
+    this.droppedLines.failures++;
   }
 
   public error(fields: LogFields, message: string): void {
-    if (this.failures.take(this.timers.now())) {
+    if (this.failureLimiter.tryAcquire(this.timers.now())) {
       this.inner.error(fields, message);
       return;
     }
-    this.dropped.failures++;
+    this.droppedLines.failures++;
   }
 
   public child(fields: LogFields): Logger {
     return new DecisionLog(this.inner.child(fields), this.timers, this.options);
   }
 
-  private report(): void {
-    const { failures, usual } = this.dropped;
+  private reportDroppedLines(): void {
+    const { failures, usual } = this.droppedLines;
     if (failures + usual === 0) {
       return;
     }
-    this.dropped = { failures: 0, usual: 0 };
-    this.inner.warn({ event: 'lines-dropped', failures, usual }, 'the log was over its bound');
+    this.droppedLines = { failures: 0, usual: 0 };
+    this.inner.warn(
+      { event: 'lines-dropped', failures, usual },
+      'log lines were dropped because the log was over its rate',
+    );
   }
 }
--- a/packages/gateway/src/observation/gatewayMetrics.ts
+++ b/packages/gateway/src/observation/gatewayMetrics.ts
@@ -1,23 +1,23 @@
 import { Counter, Histogram, Registry } from 'prom-client';
 
-/** How a request ended, as counted. */
+/** Outcome of a request in the metrics. */
 export type RequestEnd = 'aborted' | 'caller-left' | 'cut' | 'interrupted' | 'refused' | 'served';
 
-/** How an attempt at a replica ended, as counted. */
+/** Outcome of an attempt at a replica in the metrics. */
 export type AttemptEndLabel = 'lost' | 'not-run' | 'served';
 
-/** Bounds of the latency histograms, in seconds: from a call inside an availability zone to the longest route. */
+/** Bounds of the latency histograms, in seconds: from a call within an availability zone to the longest route timeout. */
 const LATENCY_BUCKETS = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 3, 5];
 
 /**
- * Counters and histograms of an instance, served as text on its metrics address.
+ * Counters and histograms of an instance, served as text at its metrics address.
  *
  * @example
  * metrics.requests.inc({ end: 'served', kind: 'safe' });
  */
 export class GatewayMetrics {
   public readonly registry = new Registry();
-  /** Requests by how they ended and by the kind of their route or refusal. */
+  /** Requests by outcome and by the kind of their route or refusal. */
   public readonly requests = new Counter({
     help: 'Requests by how they ended and why.',
     labelNames: ['end', 'kind'] as const,
@@ -57,7 +57,7 @@
     registers: [this.registry],
   });
 
-  /** The text that is served. */
+  /** Renders the metrics in the Prometheus text format. */
   public async text(): Promise<string> {
     return await this.registry.metrics();
   }
--- a/packages/gateway/src/observation/metricsServer.ts
+++ b/packages/gateway/src/observation/metricsServer.ts
@@ -5,7 +5,7 @@
 import { HttpEndpoint } from '../util/httpEndpoint.js';
 
 /**
- * Serves the metrics of an instance as text.
+ * Serves the metrics of an instance in the Prometheus text format.
  *
  * @example
  * await new MetricsServer(metrics).listen({ host: '10.1.0.11', port: 7790 });
--- a/packages/gateway/tests/observation/decisionLog.test.ts
+++ b/packages/gateway/tests/observation/decisionLog.test.ts
@@ -3,7 +3,7 @@
 
 import { DecisionLog } from '../../src/observation/decisionLog.js';
 
-const OPTIONS = { failuresPerSecond: 20, usualPerSecond: 10 };
+const OPTIONS = { failureLinesPerSecond: 20, infoLinesPerSecond: 10 };
 
 describe(DecisionLog, () => {
   let timers: ManualTimerService;
@@ -21,7 +21,7 @@
     log = new DecisionLog(logger, timers, OPTIONS);
   });
 
-  it('writes everything below its bound', async () => {
+  it('writes every line below its bounds', async () => {
     for (let second = 0; second < 10; second++) {
       log.info({ event: 'request-served' }, 'served');
       log.warn({ event: 'request-refused' }, 'refused');
@@ -30,21 +30,21 @@
     expect(lines).toHaveLength(20);
   });
 
-  it('stays within its bound at ten times the load and tells what it dropped', async () => {
+  it('stays within its bounds at ten times the load and reports the dropped lines', async () => {
     for (let elapsed = 0; elapsed < 10_000; elapsed += 10) {
       log.info({ event: 'request-served' }, 'served');
       log.warn({ event: 'request-refused' }, 'refused');
       await timers.advance(10);
     }
-    const count = (event: string): number => lines.filter(line => line.event === event).length;
-    expect(count('request-served')).toBe(100);
-    expect(count('request-refused')).toBe(200);
+    const countLines = (event: string): number => lines.filter(line => line.event === event).length;
+    expect(countLines('request-served')).toBe(100);
+    expect(countLines('request-refused')).toBe(200);
     const dropped = lines.filter(line => line.event === 'lines-dropped');
     expect(dropped.reduce((sum, line) => sum + (line.usual ?? 0), 0)).toBe(900);
     expect(dropped.reduce((sum, line) => sum + (line.failures ?? 0), 0)).toBe(800);
   });
 
-  it('never lets usual lines crowd out failures', () => {
+  it('writes errors even when info lines exceed their bound', () => {
     for (let line = 0; line < 1_000; line++) {
       log.info({ event: 'request-served' }, 'served');
     }
--- a/packages/gateway/tests/observation/gatewayMetrics.test.ts
+++ b/packages/gateway/tests/observation/gatewayMetrics.test.ts
@@ -4,9 +4,9 @@
 
 import { GatewayMetrics } from '../../src/observation/gatewayMetrics.js';
 
-const OPERATIONS = join(import.meta.dirname, '../../../../docs/OPERATIONS.md');
-/** A line of the table: name, kind and labels. */
-const TABLE_LINE = /^\| `(zincring_\w+)` +\| (\w+) +\| ([^|]*)\|/gmu;
+const OPERATIONS_PAGE = join(import.meta.dirname, '../../../../docs/OPERATIONS.md');
+/** Matches a row of the documented table of metrics: name, kind and labels. */
+const METRIC_ROW = /^\| `(zincring_\w+)` +\| (\w+) +\| ([^|]*)\|/gmu;
 
 interface ServedMetric {
   readonly name: string;
@@ -15,9 +15,9 @@
 }
 
 describe(GatewayMetrics, () => {
-  it('serves what the operators are told, with the same labels', async () => {
-    const text = await readFile(OPERATIONS, 'utf8');
-    const told = [...text.matchAll(TABLE_LINE)].map(([, name, kind, labels = '']) => ({
+  it('serves the documented metrics with the documented labels', async () => {
+    const text = await readFile(OPERATIONS_PAGE, 'utf8');
+    const documented = [...text.matchAll(METRIC_ROW)].map(([, name, kind, labels = '']) => ({
       kind,
       labels: [...labels.matchAll(/`(\w+)`/gu)].map(([, label]) => label),
       name,
@@ -26,6 +26,6 @@
     const served = (registry.getMetricsAsArray() as unknown as readonly ServedMetric[]).map(
       ({ labelNames, name, type }) => ({ kind: type, labels: [...labelNames], name }),
     );
-    expect(served).toEqual(told);
+    expect(served).toEqual(documented);
   });
 });
