--- a/packages/gateway/src/util/headerList.ts
+++ b/packages/gateway/src/util/headerList.ts
@@ -1,6 +1,6 @@
 /**
- * The headers of a flat list of names and values by their names in lower case; the last of several
- * with the same name.
+ * Converts a flat list of header names and values to a map by lower-case name. Of several headers
+ * with the same name, the last one counts.
  *
  * @example
  * toFields(['Host', 'agents.example']).get('host'); // 'agents.example'
@@ -14,18 +14,18 @@
 }
 
 /**
- * A flat list of headers without those of some names, which are given in lower case.
+ * Copies a flat list of header names and values without those of the given lower-case names.
  *
  * @example
  * withoutFields(['Host', 'agents.example', 'TE', 'trailers'], new Set(['te'])); // ['Host', 'agents.example']
  */
 export function withoutFields(headers: readonly string[], names: ReadonlySet<string>): string[] {
-  const kept: string[] = [];
+  const remainingHeaders: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? '';
     if (!names.has(name.toLowerCase())) {
-      kept.push(name, headers[index + 1] ?? '');
+      remainingHeaders.push(name, headers[index + 1] ?? '');
     }
   }
-  return kept;
+  return remainingHeaders;
 }
--- a/packages/gateway/src/util/httpEndpoint.ts
+++ b/packages/gateway/src/util/httpEndpoint.ts
@@ -7,7 +7,7 @@
 import { listenOn, portOf } from './listen.js';
 
 /**
- * A server that answers every request alike, whatever its path.
+ * HTTP server that answers every request in the same way, regardless of its path.
  *
  * @example
  * await new HttpEndpoint(response => response.end('alive')).listen({ host: '127.0.0.1', port: 0 });
@@ -15,24 +15,24 @@
 export class HttpEndpoint {
   private readonly server: Server;
 
-  public constructor(answer: (response: ServerResponse) => void) {
+  public constructor(respond: (response: ServerResponse) => void) {
     this.server = createServer((request, response) => {
       request.resume();
-      answer(response);
+      respond(response);
     });
   }
 
-  /** Listens; the port 0 takes any. */
+  /** Starts to listen; port 0 selects any free port. */
   public async listen(address: ListenAddress): Promise<void> {
     await listenOn(this.server, address);
   }
 
-  /** The port that the server listens on. */
+  /** Port on which the server listens. */
   public get port(): number {
     return portOf(this.server);
   }
 
-  /** Closes at once. */
+  /** Closes the server and its connections immediately. */
   public close(): void {
     this.server.close();
     this.server.closeAllConnections();
--- a/packages/gateway/src/util/listen.ts
+++ b/packages/gateway/src/util/listen.ts
@@ -2,11 +2,11 @@
 
 import type { ListenAddress } from '../lifecycle/gatewayOptions.js';
 
-/** Connections that may wait to be accepted: those of all callers of an instance after a pause. */
+/** Connections that may wait to be accepted: enough for all callers of an instance to reconnect after a pause. */
 const BACKLOG = 1_024;
 
 /**
- * Makes a server listen; the port 0 takes any.
+ * Makes a server listen; port 0 selects any free port.
  *
  * @example
  * await listenOn(server, { host: '10.1.0.11', port: 8369 });
@@ -19,7 +19,7 @@
 }
 
 /**
- * The port that a server listens on; 0 when it does not listen.
+ * Returns the port on which a server listens; 0 when it does not listen.
  *
  * @example
  * portOf(server); // 8369
--- a/packages/gateway/src/util/readWithin.ts
+++ b/packages/gateway/src/util/readWithin.ts
@@ -3,20 +3,20 @@
 
 import { Err, Ok } from '@zincring/core';
 
-/** Why a body was not read to its end: its connection was lost, or it is larger than allowed. */
-export type UnreadBody = 'broken' | 'too-large';
+/** Reason for which a body was not read completely: the connection was lost, or the body is larger than allowed. */
+export type BodyReadFailure = 'broken' | 'too-large';
 
 /**
- * Reads the body of a request or an answer to its end, up to a limit.
+ * Reads the complete body of a request or response, up to a maximum size.
  *
- * @param maximumBytes largest body that is read, in bytes
+ * @param maximumBytes maximum size of the body, in bytes
  * @example
  * const body = await readWithin(request, 4_194_304);
  */
 export async function readWithin(
   message: IncomingMessage,
   maximumBytes: number,
-): Promise<Result<Buffer, UnreadBody>> {
+): Promise<Result<Buffer, BodyReadFailure>> {
   const chunks: Buffer[] = [];
   let size = 0;
   try {
@@ -28,7 +28,7 @@
       chunks.push(chunk);
     }
   } catch {
-    // Node reports a connection that was lost in the middle of a body as an error of the stream.
+    // Node reports a connection lost in the middle of a body as a stream error.
     return Err('broken');
   }
   return message.complete ? Ok(Buffer.concat(chunks)) : Err('broken');
