--- a/packages/gateway/src/limits/workspaceBucket.ts
+++ b/packages/gateway/src/limits/workspaceBucket.ts
@@ -59,15 +59,15 @@
   readonly isOverRate: boolean;
 }
 
-/** Seconds of the rate that tokens and credit may add up to beyond the burst: the operator's slack over a window of five seconds. */
+/** Slack that the operator allows beyond the burst over a window of five seconds, as seconds of the rate. */
 const RATE_SLACK_SECONDS = 0.5;
-/** Share of the burst that tokens and credit may add up to beyond the burst: the operator's slack. */
+/** Slack that the operator allows beyond the burst, as a share of the burst. */
 const BURST_SLACK_SHARE = 0.1;
 /** Share of the burst that is not granted ahead of demand, so that waiting requests of any instance can be served. */
 const WAITING_RESERVE_BURST_SHARE = 0.3;
 /** Time for which requests that waited for a grant count as outstanding, in milliseconds; the instance uses the answer for half of it. */
 export const IMMEDIATE_GRANT_MILLISECONDS = 1_000;
-/** Further requests that tokens and credit may add up to: fewer than the operator tolerates above the limit. */
+/** Further slack in requests: less than the operator tolerates above the limit. */
 const SLACK_REQUESTS = 12;
 
 /**
