--- a/packages/gateway/src/limits/workspaceBucket.ts
+++ b/packages/gateway/src/limits/workspaceBucket.ts
@@ -118,7 +118,7 @@
     held + grantedToWaiting > 0 ? { ...otherEntries, [holder]: updatedEntry } : otherEntries;
   const headroom = Math.max(
     0,
-    maximumOutstanding(limit) - sumOutstanding(updatedEntries, storeTime),
+    computeMaximumOutstanding(limit) - sumOutstanding(updatedEntries, storeTime),
   );
   const tokens = Math.min(limit.burst, headroom, available - granted);
   return {
@@ -142,9 +142,13 @@
  * Computes the maximum number of requests that tokens and credit may add up to.
  *
  * @example
- * maximumOutstanding({ burst: 10, ratePerSecond: 10 }); // 28
+ * computeMaximumOutstanding({ burst: 10, ratePerSecond: 10 }); // 28
  */
-export function maximumOutstanding({ burst, ratePerSecond, slackShare = 1 }: RateLimit): number {
+export function computeMaximumOutstanding({
+  burst,
+  ratePerSecond,
+  slackShare = 1,
+}: RateLimit): number {
   const slack = RATE_SLACK_SECONDS * ratePerSecond + BURST_SLACK_SHARE * burst;
   return burst + slack + SLACK_REQUESTS * slackShare;
 }
--- a/packages/gateway/src/limits/workspaceCredit.ts
+++ b/packages/gateway/src/limits/workspaceCredit.ts
@@ -4,7 +4,7 @@
 import type { RateLimit } from './workspaceBucket.js';
 
 import { elapsedSince } from '../configuration/contactAge.js';
-import { maximumOutstanding } from './workspaceBucket.js';
+import { computeMaximumOutstanding } from './workspaceBucket.js';
 
 /** Outcome of a wait for credit; `unknown` when the store did not answer in time. */
 export type CreditOutcome = 'denied' | 'granted' | 'unknown';
@@ -77,27 +77,27 @@
 
   /** Credit to request ahead of demand, in requests. */
   public get requestedAhead(): number {
-    const demandPerSecond = this.currentDemandPerSecond();
+    const demandPerSecond = this.estimateDemandPerSecond();
     return demandPerSecond < LOW_DEMAND_PER_SECOND
-      ? this.extraCredit()
+      ? this.computeExtraCredit()
       : Math.ceil(demandPerSecond * REQUEST_AHEAD_SECONDS);
   }
 
   /** Time for which the store counts a grant made now, in milliseconds; its holder uses it for a shorter time. */
   public get storeValidMilliseconds(): number {
-    return this.nextGrantValidityMilliseconds() + CREDIT_VALIDITY_MILLISECONDS.storeMargin;
+    return this.chooseValidityMilliseconds() + CREDIT_VALIDITY_MILLISECONDS.storeMargin;
   }
 
   /** Whether requests are waiting or the credit for steady demand runs low. */
   public get needsCredit(): boolean {
-    const isSteady = this.currentDemandPerSecond() >= LOW_DEMAND_PER_SECOND;
+    const isSteady = this.estimateDemandPerSecond() >= LOW_DEMAND_PER_SECOND;
     return this.waiting > 0 || (isSteady && this.unspent < this.requestedAhead * LOW_CREDIT_SHARE);
   }
 
   /** Counts a request in the demand estimate. */
   public recordDemand(): void {
     this.demandPerSecond =
-      this.currentDemandPerSecond() + 1_000 / DEMAND_TIME_CONSTANT_MILLISECONDS;
+      this.estimateDemandPerSecond() + 1_000 / DEMAND_TIME_CONSTANT_MILLISECONDS;
     this.demandUpdatedAt = this.timers.now();
   }
 
@@ -170,18 +170,18 @@
     }
   }
 
-  private nextGrantValidityMilliseconds(): number {
-    return this.currentDemandPerSecond() < LOW_DEMAND_PER_SECOND
+  private chooseValidityMilliseconds(): number {
+    return this.estimateDemandPerSecond() < LOW_DEMAND_PER_SECOND
       ? CREDIT_VALIDITY_MILLISECONDS.lowDemand
       : CREDIT_VALIDITY_MILLISECONDS.steadyDemand;
   }
 
-  private extraCredit(): number {
-    const share = Math.round(maximumOutstanding(this.limit) * EXTRA_CREDIT_SHARE);
+  private computeExtraCredit(): number {
+    const share = Math.round(computeMaximumOutstanding(this.limit) * EXTRA_CREDIT_SHARE);
     return Math.max(1, Math.min(MAXIMUM_EXTRA_CREDIT, share));
   }
 
-  private currentDemandPerSecond(): number {
+  private estimateDemandPerSecond(): number {
     const elapsed = this.timers.now() - this.demandUpdatedAt;
     return this.demandPerSecond * Math.exp(-elapsed / DEMAND_TIME_CONSTANT_MILLISECONDS);
   }
--- a/packages/gateway/src/limits/workspaceRates.ts
+++ b/packages/gateway/src/limits/workspaceRates.ts
@@ -67,7 +67,7 @@
 /** Share of the rate for which new programs are admitted while the workspace is over its rate; the rest is left to programs in progress. */
 const PROGRAM_START_SHARE = 0.85;
 /** Rate that one bucket can serve, in requests per second: some dozen instances can draw on it without conflicts. */
-const RATE_PER_BUCKET = 80;
+const BUCKET_RATE_PER_SECOND = 80;
 /** Maximum number of buckets of one workspace. */
 const MAXIMUM_BUCKETS = 16;
 /** Maximum number of store failures after which one draw is retried. */
@@ -104,11 +104,11 @@
     if (workspace === undefined || workspace.ratePerSecond <= 0) {
       return Ok(unlimitedAdmission);
     }
-    const buckets = this.bucketsFor(workspace);
+    const buckets = this.findBuckets(workspace);
     this.programSizeEstimator.recordRequest();
     if (isAnyOverRate(buckets) && (await startsProgram())) {
       const startAdmission = await this.acquireCredit(
-        this.programStartBucketFor(workspace),
+        this.findProgramStartBucket(workspace),
         signal,
       );
       if (startAdmission.err) {
@@ -128,7 +128,7 @@
     return (
       workspace !== undefined &&
       workspace.ratePerSecond > 0 &&
-      isAnyOverRate(this.bucketsFor(workspace))
+      isAnyOverRate(this.findBuckets(workspace))
     );
   }
 
@@ -136,24 +136,24 @@
    * Returns the buckets of a workspace that this instance draws on, the primary one first. A
    * workspace with a high rate has several, since one row takes only some hundred writes per second.
    */
-  private bucketsFor(workspace: GatewayWorkspace): readonly [BucketState, BucketState?] {
+  private findBuckets(workspace: GatewayWorkspace): readonly [BucketState, BucketState?] {
     const { burst, name, ratePerSecond } = workspace;
     const bucketCount = Math.max(
       1,
-      Math.min(MAXIMUM_BUCKETS, Math.round(ratePerSecond / RATE_PER_BUCKET)),
+      Math.min(MAXIMUM_BUCKETS, Math.round(ratePerSecond / BUCKET_RATE_PER_SECOND)),
     );
     if (bucketCount === 1) {
       return [this.findOrAddBucketState(workspace)];
     }
     const primaryIndex = hash32(this.dependencies.instance) % bucketCount;
-    const stateOfBucket = (bucketIndex: number): BucketState =>
+    const findBucketState = (bucketIndex: number): BucketState =>
       this.findOrAddBucketState({
         burst: burst / bucketCount,
         name: `${name}/${String(bucketCount)}.${String(bucketIndex)}`,
         ratePerSecond: ratePerSecond / bucketCount,
         slackShare: 1 / bucketCount,
       });
-    return [stateOfBucket(primaryIndex), stateOfBucket((primaryIndex + 1) % bucketCount)];
+    return [findBucketState(primaryIndex), findBucketState((primaryIndex + 1) % bucketCount)];
   }
 
   /** Records the first turn of a program at this instance. */
@@ -169,7 +169,7 @@
     credit.recordDemand();
     if (credit.tryAcquire()) {
       this.drawIfDue(state);
-      return Ok(admissionOf(credit));
+      return Ok(createAdmission(credit));
     }
     if (credit.deniedUntil > this.dependencies.timers.now()) {
       return Err(this.createRateLimitedError(credit));
@@ -179,7 +179,7 @@
       : await this.waitForCredit(state, signal);
     switch (outcome) {
       case 'granted':
-        return Ok(admissionOf(credit));
+        return Ok(createAdmission(credit));
       case 'denied':
         return Err(this.createRateLimitedError(credit));
       case 'unknown':
@@ -356,12 +356,12 @@
   }
 
   /** Returns the bucket that limits program starts to as many programs as the rate can complete. */
-  private programStartBucketFor({ burst, name, ratePerSecond }: GatewayWorkspace): BucketState {
-    const { requestsPerProgram: requests } = this.programSizeEstimator;
+  private findProgramStartBucket({ burst, name, ratePerSecond }: GatewayWorkspace): BucketState {
+    const { requestsPerProgram } = this.programSizeEstimator;
     return this.findOrAddBucketState({
-      burst: Math.max(1, (burst * PROGRAM_START_SHARE) / requests),
+      burst: Math.max(1, (burst * PROGRAM_START_SHARE) / requestsPerProgram),
       name: `${name}/programs`,
-      ratePerSecond: (ratePerSecond * PROGRAM_START_SHARE) / requests,
+      ratePerSecond: (ratePerSecond * PROGRAM_START_SHARE) / requestsPerProgram,
     });
   }
 
@@ -392,7 +392,7 @@
   return buckets.some(state => state?.credit.isOverRate === true);
 }
 
-function admissionOf(credit: WorkspaceCredit): RateAdmission {
+function createAdmission(credit: WorkspaceCredit): RateAdmission {
   return {
     giveBack: () => {
       credit.refund();
--- a/packages/gateway/src/store/editRow.ts
+++ b/packages/gateway/src/store/editRow.ts
@@ -80,7 +80,7 @@
       } else if (++failures > options.maximumFailures || options.signal.aborted) {
         return read;
       } else {
-        await sleep(timers, failureBackoffMilliseconds(failures, options), options.signal);
+        await sleep(timers, computeFailureBackoffMilliseconds(failures, options), options.signal);
         continue;
       }
     }
@@ -103,7 +103,7 @@
       if (failures > options.maximumFailures || options.signal.aborted) {
         return Err(outcome.val);
       }
-      await sleep(timers, failureBackoffMilliseconds(failures, options), options.signal);
+      await sleep(timers, computeFailureBackoffMilliseconds(failures, options), options.signal);
       continue;
     }
     if (outcome.val.status === 'conflict') {
@@ -135,6 +135,6 @@
 }
 
 /** Exponential backoff with jitter, which relieves a store that is over its rate. */
-function failureBackoffMilliseconds(failures: number, { random }: EditOptions): number {
+function computeFailureBackoffMilliseconds(failures: number, { random }: EditOptions): number {
   return FAILURE_BACKOFF_MILLISECONDS * 2 ** failures * (0.5 + random());
 }
--- a/packages/gateway/src/store/tableFollower.ts
+++ b/packages/gateway/src/store/tableFollower.ts
@@ -112,12 +112,12 @@
       return;
     }
     this.recordContact(hasSucceeded);
-    this.pauseTimer = this.timers.after(this.nextPauseMilliseconds(hasSucceeded), () => {
+    this.pauseTimer = this.timers.after(this.choosePauseMilliseconds(hasSucceeded), () => {
       this.follow();
     });
   }
 
-  private nextPauseMilliseconds(hasSucceeded: boolean): number {
+  private choosePauseMilliseconds(hasSucceeded: boolean): number {
     if (hasSucceeded) {
       this.nextBackoffMilliseconds = this.options.backoffMilliseconds;
       return this.options.pauseMilliseconds;
@@ -185,9 +185,9 @@
 
   private applyChanges(changes: readonly RowChange[], sentAt: ClockReading): void {
     const appliedVersion = this.appliedVersion ?? 0;
-    const newChanges = changes.filter(change => versionOf(change) > appliedVersion);
+    const newChanges = changes.filter(change => getVersion(change) > appliedVersion);
     if (newChanges.length > 0) {
-      this.appliedVersion = Math.max(...newChanges.map(versionOf));
+      this.appliedVersion = Math.max(...newChanges.map(getVersion));
       this.listener.onChanges(newChanges);
     }
     this.contact.confirm(sentAt);
@@ -230,6 +230,6 @@
   }
 }
 
-function versionOf(change: RowChange): number {
+function getVersion(change: RowChange): number {
   return change.kind === 'written' ? change.row.version : change.version;
 }
--- a/packages/gateway/tests/limits/workspaceRates.test.ts
+++ b/packages/gateway/tests/limits/workspaceRates.test.ts
@@ -29,7 +29,7 @@
 const SEED_FACTOR = 2_654_435_761;
 
 /** Maximum number of requests that the operator tolerates in one window. */
-function maximumRequestsPerWindow({ burst, ratePerSecond }: GatewayWorkspace): number {
+function computeMaximumRequestsPerWindow({ burst, ratePerSecond }: GatewayWorkspace): number {
   return (ratePerSecond * WINDOW_SECONDS + burst) * (1 + OVERAGE_SHARE) + SLACK_REQUESTS;
 }
 
@@ -193,7 +193,9 @@
     async ({ perSecond, ratePerSecond }) => {
       const workspace = sampleWorkspace({ burst: ratePerSecond, ratePerSecond });
       const { admitted } = await sendRequests(makeInstances(13), workspace, perSecond, 12);
-      expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(maximumRequestsPerWindow(workspace));
+      expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+        computeMaximumRequestsPerWindow(workspace),
+      );
       expect(admitted.length).toBeGreaterThan(ratePerSecond * 12 * 0.9);
     },
   );
@@ -201,7 +203,9 @@
   it('keeps a workspace with several buckets within the bound and serves it up to its rate', async () => {
     const workspace = sampleWorkspace({ burst: 160, ratePerSecond: 160 });
     const { admitted } = await sendRequests(makeInstances(20), workspace, 400, 8);
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(maximumRequestsPerWindow(workspace));
+    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+      computeMaximumRequestsPerWindow(workspace),
+    );
     expect(admitted.length).toBeGreaterThan(160 * 8 * 0.9);
   });
 
@@ -241,7 +245,9 @@
       const part = await sendRequests(makeInstances(13), workspace, 60, 1.5);
       admitted.push(...part.admitted);
     }
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(maximumRequestsPerWindow(workspace));
+    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+      computeMaximumRequestsPerWindow(workspace),
+    );
   });
 
   it('does not treat credit as unused that instances spent before they were killed', async () => {
@@ -251,7 +257,9 @@
     const surge = await sendRequests(originalInstances, workspace, 1_000, 0.1, undefined, false);
     const after = await sendRequests(makeInstances(13), workspace, 400, 5);
     const admitted = [...steadyLoad.admitted, ...surge.admitted, ...after.admitted];
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(maximumRequestsPerWindow(workspace));
+    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+      computeMaximumRequestsPerWindow(workspace),
+    );
   });
 
   it('stays within the bound while answers of the store are lost', async () => {
@@ -262,7 +270,9 @@
     });
     const { admitted } = await sendRequests(instances, workspace, 60, 10);
     faultToggle.stop();
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(maximumRequestsPerWindow(workspace));
+    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+      computeMaximumRequestsPerWindow(workspace),
+    );
   });
 
   it('recovers the credit of a crashed instance within six seconds', async () => {
@@ -280,7 +290,9 @@
     await sendRequests(instances, highLimit, 40, 4);
     await sendRequests(instances, lowLimit, 40, 4);
     const { admitted } = await sendRequests(instances, lowLimit, 40, 6);
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(maximumRequestsPerWindow(lowLimit));
+    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+      computeMaximumRequestsPerWindow(lowLimit),
+    );
   });
 
   it('serves a workspace whose first request arrives during a draw for another', async () => {
