--- a/packages/gateway/src/programs/budgetRow.ts
+++ b/packages/gateway/src/programs/budgetRow.ts
@@ -1,102 +1,108 @@
-/** Tokens that one holder at one instance may hand over. */
-export interface BudgetHold {
+/** Tokens reserved by one holder: one program budget object of one instance. */
+export interface HolderReservation {
   readonly tokens: number;
-  /** Number of the write that set it, by which its writer recognises a write whose answer was lost. */
+  /** Number of the write that set the reservation; its writer recognises by it a write whose answer was lost. */
   readonly write: number;
 }
 
-/** What the store keeps of a program. */
+/** Token account of a program, as it is stored. */
 export interface BudgetAccount {
-  /** Tokens handed over by turns that have ended. */
+  /** Tokens that ended turns delivered to their callers. */
   readonly spent: number;
-  readonly holds: Readonly<Record<string, BudgetHold>>;
-  /** When the row may be removed, by the wall clock, in milliseconds. */
+  /** Current reservations by the name of their holder. */
+  readonly holds: Readonly<Record<string, HolderReservation>>;
+  /** Earliest time at which the row may be removed, on the wall clock, in milliseconds. */
   readonly expiresAt: number;
 }
 
-/** A turn that waits for its tokens. */
+/** Token demand of one turn. */
 export interface BudgetDemand {
-  /** Tokens that the turn may generate at most. */
-  readonly most: number;
-  /** Tokens that all turns of the program may generate. */
+  /** Maximum number of tokens that the turn may generate. */
+  readonly maximumTokens: number;
+  /** Maximum number of tokens that all turns of the program may generate together. */
   readonly budget: number;
 }
 
-/** What an instance knows when it asks for tokens. */
+/** Request of a holder for tokens, with what it knows that the account does not contain yet. */
 export interface BudgetRequest {
   readonly holder: string;
   readonly write: number;
-  /** Tokens handed over by turns that ended here and are not yet in the account. */
-  readonly ended: number;
-  /** The most that turns under way here may hand over. */
-  readonly underWay: number;
-  readonly waiting: readonly BudgetDemand[];
-  /** The demand that further turns are expected to have. */
-  readonly usual: BudgetDemand;
+  /** Tokens delivered by turns that ended at this holder and that are not yet in the account. */
+  readonly settledTokens: number;
+  /** Maximum number of tokens that turns in flight at this holder may deliver. */
+  readonly inFlightTokens: number;
+  readonly waitingDemands: readonly BudgetDemand[];
+  /** Expected demand of further turns. */
+  readonly expectedDemand: BudgetDemand;
   readonly expiresAt: number;
 }
 
-/** What the account allows. */
+/** Result of a {@link BudgetRequest}. */
 export interface BudgetGrant {
   readonly account: BudgetAccount;
-  /** Whether each waiting turn gets its tokens, in their order. */
+  /** Whether each waiting demand is granted, in the order of the demands. */
   readonly isGranted: readonly boolean[];
-  /** Tokens held for turns to come. */
-  readonly ahead: number;
-  /** Whether so much is left that tokens held in vain do no harm. */
-  readonly isRelaxed: boolean;
+  /** Tokens reserved in advance for later turns. */
+  readonly advanceTokens: number;
+  /** Whether so much of the budget is left that unused reserved tokens need not be released. */
+  readonly mayKeepUnused: boolean;
 }
 
-/** Turns for which a budget must have room before tokens are held for turns to come: more than start side by side. */
-const AMPLE_TURNS = 5;
-/** Part of an ample budget that one run of an instance holds for turns to come: a program meets a few instances. */
-const AHEAD_SHARE = 0.25;
-/** Part of a budget up to which it does not matter for other instances that tokens are held in vain. */
-const RELAXED_SHARE = 0.7;
+/** Turns for which a budget must have room before tokens are reserved in advance: more than start at the same time. */
+const MINIMUM_TURNS_FOR_ADVANCE = 5;
+/** Share of the remaining budget that one holder reserves in advance: a program uses only a few instances. */
+const ADVANCE_SHARE = 0.25;
+/** Share of a budget up to which unused reservations of one instance do not restrict the others. */
+const KEEP_UNUSED_SHARE = 0.7;
 
-/** The account of a program without turns. */
+/** Account of a program that has had no turn. */
 export const emptyAccount: BudgetAccount = { expiresAt: 0, holds: {}, spent: 0 };
 
 /**
- * Divides what is left of a budget: turns under way at any instance count at their most, so the
- * tokens handed over never pass the budget. While it is ample, the instance also holds tokens for
- * turns to come, which then need no answer of the store.
+ * Grants tokens from the remainder of a budget. Turns in flight at any instance count with their
+ * maximum, so that the delivered tokens never exceed the budget. While the remainder is large, the
+ * holder also reserves tokens in advance, so that its next turns need no call to the store.
  *
  * @example
  * const { isGranted } = grantTokens(emptyAccount, request);
  */
 export function grantTokens(account: BudgetAccount, request: BudgetRequest): BudgetGrant {
-  const { ended, holder, underWay, usual, waiting, write } = request;
-  const { [holder]: own, ...others } = account.holds;
-  const spent = account.spent + ended;
-  let committed = spent + underWay + totalHeld(others);
-  let tokens = underWay;
-  const isGranted = waiting.map(({ budget, most }) => {
-    if (committed + most > budget) {
+  const { settledTokens, holder, inFlightTokens, expectedDemand, waitingDemands, write } = request;
+  const { [holder]: ownReservation, ...otherHolds } = account.holds;
+  const spent = account.spent + settledTokens;
+  let committed = spent + inFlightTokens + totalReserved(otherHolds);
+  let tokens = inFlightTokens;
+  const isGranted = waitingDemands.map(({ budget, maximumTokens }) => {
+    if (committed + maximumTokens > budget) {
       return false;
     }
-    committed += most;
-    tokens += most;
+    committed += maximumTokens;
+    tokens += maximumTokens;
     return true;
   });
-  const left = usual.budget - committed;
-  const isAmple = left >= AMPLE_TURNS * usual.most;
-  const ahead = isAmple ? Math.max(usual.most, Math.floor(left * AHEAD_SHARE)) : 0;
-  const hold = { tokens: tokens + ahead, write };
+  const remainingTokens = expectedDemand.budget - committed;
+  const allowsAdvance = remainingTokens >= MINIMUM_TURNS_FOR_ADVANCE * expectedDemand.maximumTokens;
+  const advanceTokens = allowsAdvance
+    ? Math.max(expectedDemand.maximumTokens, Math.floor(remainingTokens * ADVANCE_SHARE))
+    : 0;
+  const reservation = { tokens: tokens + advanceTokens, write };
   return {
     account: {
       expiresAt: Math.max(account.expiresAt, request.expiresAt),
-      holds: hold.tokens > 0 || own !== undefined ? { ...others, [holder]: hold } : others,
+      holds:
+        reservation.tokens > 0 || ownReservation !== undefined
+          ? { ...otherHolds, [holder]: reservation }
+          : otherHolds,
       spent,
     },
-    ahead,
+    advanceTokens,
     isGranted,
-    isRelaxed: committed + ahead <= usual.budget * RELAXED_SHARE,
+    mayKeepUnused: committed + advanceTokens <= expectedDemand.budget * KEEP_UNUSED_SHARE,
   };
 }
 
 /**
- * Frees what an instance holds for a program that has no turns there any more.
+ * Removes the reservation of a holder and adds the tokens of its ended turns to the account.
  *
  * @example
  * const released = releaseTokens(account, 'entry-1/7f3a', 253);
@@ -104,12 +110,12 @@
 export function releaseTokens(
   account: BudgetAccount,
   holder: string,
-  ended: number,
+  settledTokens: number,
 ): BudgetAccount {
   const holds = Object.entries(account.holds).filter(([name]) => name !== holder);
-  return { ...account, holds: Object.fromEntries(holds), spent: account.spent + ended };
+  return { ...account, holds: Object.fromEntries(holds), spent: account.spent + settledTokens };
 }
 
-function totalHeld(holds: Readonly<Record<string, BudgetHold>>): number {
+function totalReserved(holds: Readonly<Record<string, HolderReservation>>): number {
   return Object.values(holds).reduce((sum, { tokens }) => sum + tokens, 0);
 }
--- a/packages/gateway/src/programs/keptTurnRows.ts
+++ b/packages/gateway/src/programs/keptTurnRows.ts
@@ -5,16 +5,16 @@
 
 import { PartitionSet } from '../store/partitionSet.js';
 
-/** A turn that has ended, with what it added to the history. */
-export interface KeptTurn {
+/** An ended turn with its input and output. */
+export interface StoredTurn {
   readonly id: TurnId;
   readonly workspace: WorkspaceName | undefined;
-  /** Earlier turns of the chain, oldest first. */
+  /** Earlier turns of the conversation, oldest first. */
   readonly ancestors: readonly TurnId[];
   readonly input: Buffer;
-  /** The data of each event, each followed by a line feed. */
+  /** Data of all events, each followed by a line feed. */
   readonly output: Buffer;
-  /** When the turn may be removed, by the wall clock, in milliseconds. */
+  /** Earliest time at which the turn may be removed, on the wall clock, in milliseconds. */
   readonly expiresAt: number;
 }
 
@@ -32,23 +32,23 @@
   readonly workspace: string | null;
 }
 
-/** Table of the kept turns. */
+/** Table of the stored turns. */
 export const TURN_TABLE = 'turns';
-/** Partitions of the table: a turn is one transaction, so each has room for many programs. */
+/** Partitions of the table; a turn is written in one transaction, so one partition serves many programs. */
 export const turnPartitions = new PartitionSet(TURN_TABLE, 64);
-/** Separates the id of a turn from the number of a further chunk; it sorts after all ids. */
-const CHUNK_MARK = '~';
-/** Room left in a row for its head, in bytes: some hundred ids of ancestors. */
+/** Separates the id of a turn from the number of a further chunk; sorts after all characters of ids. */
+const CHUNK_SEPARATOR = '~';
+/** Space reserved in a row for the head, in bytes: enough for a few hundred ancestor ids. */
 const HEAD_BYTES = 8_192;
 const LINE_FEED = 0x0a;
 
 /**
- * Cuts a turn into rows that the store accepts; the first one carries its head.
+ * Splits a turn into rows within the size limit of the store; the first row also contains the head.
  *
  * @example
  * const chunks = encodeTurn(turn, 65_536);
  */
-export function encodeTurn(turn: KeptTurn, rowBytes: number): readonly TurnChunk[] {
+export function encodeTurn(turn: StoredTurn, rowBytes: number): readonly TurnChunk[] {
   const content = Buffer.concat([turn.input, turn.output]);
   const chunkBytes = rowBytes - HEAD_BYTES;
   const pieces: Buffer[] = [];
@@ -70,16 +70,16 @@
 }
 
 function keyOf(id: string, chunk: number): string {
-  return chunk === 0 ? id : `${id}${CHUNK_MARK}${String(chunk).padStart(4, '0')}`;
+  return chunk === 0 ? id : `${id}${CHUNK_SEPARATOR}${String(chunk).padStart(4, '0')}`;
 }
 
 function readHead(value: Buffer): TurnHead {
   return JSON.parse(value.subarray(0, value.indexOf(LINE_FEED)).toString()) as TurnHead;
 }
 
-/** The kept turns, for removal after their end. */
+/** Description of the stored turns for the removal of expired rows. */
 export const sweptTurns: SweptTable = {
-  expiresAt: row => (row.key.includes(CHUNK_MARK) ? undefined : readHead(row.value).expiresAt),
+  expiresAt: row => (row.key.includes(CHUNK_SEPARATOR) ? undefined : readHead(row.value).expiresAt),
   keysOf: row =>
     Array.from({ length: readHead(row.value).chunks }, (_unused, index) => keyOf(row.key, index)),
   partitions: turnPartitions.names,
@@ -87,12 +87,12 @@
 };
 
 /**
- * Restores a turn from its rows in the order of their keys; `undefined` when there are none.
+ * Restores a turn from its rows, sorted by key; `undefined` if the first row is missing.
  *
  * @example
  * const turn = decodeTurn(id, rows);
  */
-export function decodeTurn(id: TurnId, rows: readonly TurnChunk[]): KeptTurn | undefined {
+export function decodeTurn(id: TurnId, rows: readonly TurnChunk[]): StoredTurn | undefined {
   const [first, ...rest] = rows;
   if (first?.key !== id) {
     return undefined;
@@ -112,11 +112,11 @@
 }
 
 /**
- * Whether a key names a row of a turn.
+ * Whether a key is that of a row of the turn.
  *
  * @example
  * isChunkOf('9c41' as TurnId, '9c41~0001'); // true
  */
 export function isChunkOf(id: TurnId, key: string): boolean {
-  return key === id || key.startsWith(`${id}${CHUNK_MARK}`);
+  return key === id || key.startsWith(`${id}${CHUNK_SEPARATOR}`);
 }
--- a/packages/gateway/src/programs/keptTurns.ts
+++ b/packages/gateway/src/programs/keptTurns.ts
@@ -7,60 +7,61 @@
 import type { TurnId } from '../callers/requestFacts.js';
 import type { RunnableRequest } from '../upstreams/attemptLoop.js';
 import type { WatchedTable } from '../store/watchedTable.js';
-import type { KeptTurn } from './keptTurnRows.js';
+import type { StoredTurn } from './keptTurnRows.js';
 
 import { decodeTurn, encodeTurn, isChunkOf, TURN_TABLE, turnPartitions } from './keptTurnRows.js';
 
-/** A turn that is under way and will be kept. */
+/** A turn in progress that is stored when it ends. */
 export interface KeptTurnDraft {
-  /** Takes in the data of an event, in order. */
+  /** Appends the data of the next event. */
   addOutput(data: Buffer): void;
-  /** Makes the turn durable; `false` when that is not certain by the time the signal aborts. */
+  /** Stores the turn; `false` if the store has not confirmed it when the signal aborts. */
   save(signal: AbortSignal): Promise<boolean>;
 }
 
-/** A request with its history. */
+/** A request body preceded by its history. */
 export interface ComposedRequest {
-  /** What the replica is to receive. */
+  /** Body to send to the replica. */
   readonly body: Buffer;
-  /** Present when the turn will be kept. */
+  /** Collects the turn; `undefined` if the turn is not to be stored. */
   readonly turn: KeptTurnDraft | undefined;
 }
 
-/** What a {@link KeptTurns} works with. */
-export interface KeptTurnParts {
+/** Dependencies of the turn store. */
+export interface TurnStoreDependencies {
   readonly table: WatchedTable;
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** Most bytes that one row holds. */
+  /** Maximum size of a row, in bytes. */
   readonly rowBytes: number;
 }
 
-/** Memory for turns of running programs, in bytes: a small part of the smallest instance. */
+/** Size of the cache of turns, in bytes: a small part of the memory of the smallest instance. */
 const CACHE_BYTES = 12 * 1024 * 1024;
-/** Pause between tries while the store fails, in milliseconds: a few of its usual answers. */
-const FAILURE_PAUSE = 30;
-/** Reads of one turn while the store fails. */
+/** Pause between attempts while the store fails, in milliseconds: a few times its usual response time. */
+const RETRY_PAUSE_MILLISECONDS = 30;
+/** Maximum number of reads of one turn while the store fails. */
 const MAXIMUM_READS = 4;
 
-type Chain = readonly KeptTurn[];
+type Chain = readonly StoredTurn[];
 
 /**
- * Keeps what was said on routes where callers send only what is new. Each turn is stored with its
- * own input and output and the ids of its ancestors, before its caller learns that it has ended.
+ * Stores the conversation history of routes on which callers send only their new input. Each turn
+ * is stored with its own input and output and the ids of its ancestors before its caller receives
+ * the end of the answer.
  *
  * @example
- * const composed = await keptTurns.compose(request, signal);
+ * const composed = await turnStore.compose(request, signal);
  */
 export class KeptTurns {
-  private readonly cache = new LRUCache<TurnId, KeptTurn>({
+  private readonly cache = new LRUCache<TurnId, StoredTurn>({
     maxSize: CACHE_BYTES,
     sizeCalculation: turn => turn.input.length + turn.output.length + 200,
   });
 
-  public constructor(private readonly parts: KeptTurnParts) {}
+  public constructor(private readonly dependencies: TurnStoreDependencies) {}
 
-  /** Puts the history before the new input of a request. */
+  /** Prepends the history to the new input of a request. */
   public async compose(
     request: RunnableRequest,
     signal: AbortSignal,
@@ -75,7 +76,7 @@
     const history = chain.val.flatMap(turn => [turn.input, turn.output]);
     return Ok({
       body: Buffer.concat([...history, request.body]),
-      turn: this.draft(request, chain.val),
+      turn: this.createDraft(request, chain.val),
     });
   }
 
@@ -91,14 +92,14 @@
       return last;
     }
     if (last.val === undefined || last.val.workspace !== workspace) {
-      this.parts.logger.warn(
+      this.dependencies.logger.warn(
         { event: 'turn-unknown', previousTurn: facts.previousTurn, request: facts.requestId },
-        'no such turn is kept for the workspace',
+        'the workspace has no stored turn with this id',
       );
       return Err(new ZincringError('program-not-found', { detail: 'no such turn is kept' }));
     }
     const ancestors = await Promise.all(last.val.ancestors.map(id => this.load(id, signal)));
-    const chain: KeptTurn[] = [];
+    const chain: StoredTurn[] = [];
     for (const ancestor of ancestors) {
       if (ancestor.err) {
         return ancestor;
@@ -114,16 +115,16 @@
   private async load(
     id: TurnId,
     signal: AbortSignal,
-  ): Promise<Result<KeptTurn | undefined, ZincringError>> {
+  ): Promise<Result<StoredTurn | undefined, ZincringError>> {
     const cached = this.cache.get(id);
     if (cached !== undefined) {
       return Ok(cached);
     }
     let failure = 'the store is away';
     for (
-      let tries = 0;
-      tries < MAXIMUM_READS && !signal.aborted && !this.parts.table.isAway;
-      tries++
+      let attempts = 0;
+      attempts < MAXIMUM_READS && !signal.aborted && !this.dependencies.table.isAway;
+      attempts++
     ) {
       const rows = await this.readRows(id);
       if (rows.ok) {
@@ -134,13 +135,13 @@
         return Ok(turn);
       }
       failure = rows.val.message;
-      await sleep(this.parts.timers, FAILURE_PAUSE, signal);
+      await sleep(this.dependencies.timers, RETRY_PAUSE_MILLISECONDS, signal);
     }
     return Err(this.storeError(failure));
   }
 
   private async readRows(id: TurnId): Promise<Result<readonly PartitionedRow[], PlatformError>> {
-    const page = await this.parts.table.read({
+    const page = await this.dependencies.table.read({
       from: id,
       partition: turnPartitions.of(id),
       table: TURN_TABLE,
@@ -149,7 +150,7 @@
     return page.ok ? Ok(page.val.rows.filter(row => isChunkOf(id, row.key))) : page;
   }
 
-  private draft(request: RunnableRequest, chain: Chain): KeptTurnDraft | undefined {
+  private createDraft(request: RunnableRequest, chain: Chain): KeptTurnDraft | undefined {
     const { facts, route, workspace } = request;
     if (facts.requestId === undefined) {
       return undefined;
@@ -161,9 +162,9 @@
         outputs.push(data, LINE_FEED);
       },
       save: async signal => {
-        const turn: KeptTurn = {
+        const turn: StoredTurn = {
           ancestors: chain.map(ancestor => ancestor.id),
-          expiresAt: this.parts.timers.wallClock() + 2 * route.retentionMilliseconds,
+          expiresAt: this.dependencies.timers.wallClock() + 2 * route.retentionMilliseconds,
           id,
           input: request.body,
           output: Buffer.concat(outputs),
@@ -175,26 +176,26 @@
   }
 
   private storeError(detail: string): ZincringError {
-    const { retryAfterSeconds } = this.parts.table;
+    const { retryAfterSeconds } = this.dependencies.table;
     return new ZincringError('store-unavailable', { detail, retryAfterSeconds });
   }
 
-  private async store(turn: KeptTurn, signal: AbortSignal): Promise<boolean> {
+  private async store(turn: StoredTurn, signal: AbortSignal): Promise<boolean> {
     const partition = turnPartitions.of(turn.id);
-    const writes = encodeTurn(turn, this.parts.rowBytes).map(chunk => ({
+    const writes = encodeTurn(turn, this.dependencies.rowBytes).map(chunk => ({
       ...chunk,
       partition,
       table: TURN_TABLE,
     }));
     while (!signal.aborted) {
-      const outcome = await this.parts.table.transact({
+      const outcome = await this.dependencies.table.transact({
         checks: [{ key: turn.id, partition, table: TURN_TABLE, version: 0 }],
         removals: [],
         writes,
       });
       if (
         outcome.ok &&
-        (outcome.val.status === 'committed' || isSameTurn(outcome.val.rows, writes))
+        (outcome.val.status === 'committed' || isAlreadyStored(outcome.val.rows, writes))
       ) {
         this.cache.set(turn.id, turn);
         return true;
@@ -202,11 +203,11 @@
       if (outcome.ok) {
         return false;
       }
-      this.parts.logger.warn(
+      this.dependencies.logger.warn(
         { event: 'turn-not-kept', failure: outcome.val.message, request: turn.id },
-        'a turn is not yet durable',
+        'could not store a turn',
       );
-      await sleep(this.parts.timers, FAILURE_PAUSE, signal);
+      await sleep(this.dependencies.timers, RETRY_PAUSE_MILLISECONDS, signal);
     }
     return false;
   }
@@ -214,7 +215,7 @@
 
 const LINE_FEED = Buffer.from('\n');
 
-function isSameTurn(
+function isAlreadyStored(
   rows: readonly PartitionedRow[],
   writes: readonly { readonly key: string; readonly value: Buffer }[],
 ): boolean {
--- a/packages/gateway/src/programs/programBudget.ts
+++ b/packages/gateway/src/programs/programBudget.ts
@@ -8,210 +8,215 @@
 import { absentRow, editRow, readRow } from '../store/editRow.js';
 import { emptyAccount, grantTokens, releaseTokens } from './budgetRow.js';
 
-/** What became of a turn's demand: tokens asked for, tokens held before, none left, or no answer. */
+/**
+ * Decision on the token demand of a turn: granted by the store, granted from tokens reserved in
+ * advance, refused because the budget is spent, or unknown because the store did not answer.
+ */
 export type BudgetDecision = 'held' | 'held-ahead' | 'spent' | 'unknown';
 
-/** What a {@link ProgramBudget} works with. */
-export interface ProgramBudgetParts {
+/** Dependencies of a {@link ProgramBudget}. */
+export interface ProgramBudgetDependencies {
   readonly table: WatchedTable;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly random: () => number;
   /**
-   * Names this object among all that ever hold tokens. One that is made anew for a program must not
-   * take over a hold of before: it does not know what was handed over from it.
+   * Name of this object, unique among all holders that ever existed. A new object for the same
+   * program must not reuse an earlier reservation: it does not know how many of its tokens were
+   * delivered.
    */
   readonly holder: string;
 }
 
-/** What is known of a turn beside its tokens. */
+/** Further facts about a turn that requests tokens. */
 export interface TurnFacts {
-  /** When the account may be removed, by the wall clock, in milliseconds. */
+  /** Earliest time at which the account may be removed, on the wall clock, in milliseconds. */
   readonly expiresAt: number;
-  /** Whether turns of the program came before, as far as its prompt tells. */
-  readonly isLater: boolean;
+  /** Whether the program has had earlier turns, as far as the prompt shows. */
+  readonly hasEarlierTurns: boolean;
 }
 
 interface WaitingTurn extends BudgetDemand {
-  /** Whether turns of the program came before, as far as its prompt tells. */
-  readonly isLater: boolean;
-  /** Whether its request has ended meanwhile. */
+  /** Whether the program has had earlier turns, as far as the prompt shows. */
+  readonly hasEarlierTurns: boolean;
+  /** Whether the wait timed out or the request was aborted. */
   isAbandoned: boolean;
   decide(decision: BudgetDecision): void;
 }
 
-/** Longest wait of a turn for its tokens, in milliseconds: some answers of a slow store. */
-const WAIT_MILLISECONDS = 1_200;
-/** Tries of one write while the store fails. */
+/** Maximum wait of a turn for its tokens, in milliseconds: a few response times of a slow store. */
+const MAXIMUM_WAIT_MILLISECONDS = 1_200;
+/** Failures of the store after which one write is given up. */
 const MAXIMUM_FAILURES = 4;
-/** Time without a turn after which held tokens go back, in milliseconds: longer than most pauses between turns. */
-const IDLE_MILLISECONDS = 2_000;
-/** Time without a turn after which a program is forgotten, in milliseconds. */
-const FORGET_MILLISECONDS = 20_000;
-/** Pause after a failed write that nobody waits for, in milliseconds. */
+/** Time without a turn after which reserved tokens are released, in milliseconds: longer than most pauses between turns. */
+const RELEASE_AFTER_IDLE_MILLISECONDS = 2_000;
+/** Time without a turn after which the object of a program may be discarded, in milliseconds. */
+const DISCARD_AFTER_IDLE_MILLISECONDS = 20_000;
+/** Pause before a failed write is retried, in milliseconds; no turn waits for the retry. */
 const RETRY_MILLISECONDS = 300;
 
 /**
- * The part of one program's budget that this run of the instance holds. Its writes to the
- * program's row follow one another, so each knows what the one before it left.
+ * This instance's reservation in the token budget of one program. Writes to the program's row are
+ * serialized, so that each write starts from the result of the previous one.
  *
  * @example
- * const decision = await program.reserve({ budget: 1_725, most: 575 }, facts, signal);
+ * const decision = await program.reserve({ budget: 1_725, maximumTokens: 575 }, facts, signal);
  */
 export class ProgramBudget {
   private row: KnownRow = absentRow;
-  /** Tokens that may be handed out without asking. */
-  private ahead = 0;
-  /** Tokens that were ever taken from `ahead` for a turn, less those put back. */
-  private taken = 0;
-  private underWay = 0;
-  /** Tokens of ended turns that are not yet in the row. */
-  private ended = 0;
-  private turnsUnderWay = 0;
-  private turnsBegun = 0;
+  /** Tokens reserved in advance that are granted without a call to the store. */
+  private advanceTokens = 0;
+  /** Total of the tokens granted from `advanceTokens`, less those returned by ended turns. */
+  private usedAdvanceTokens = 0;
+  /** Maximum number of tokens that the turns in flight may deliver. */
+  private inFlightTokens = 0;
+  /** Tokens delivered by ended turns that are not yet in the row. */
+  private settledTokens = 0;
+  private turnsInFlight = 0;
+  private startedTurns = 0;
   private isFirstWriter = false;
-  private waiting: WaitingTurn[] = [];
-  private writes = 0;
-  /** Writes that may be in the row although their answers were lost. */
-  private readonly sent = new Map<number, SentWrite>();
+  private waitingTurns: WaitingTurn[] = [];
+  private lastWriteNumber = 0;
+  /** Writes since the last confirmed one, by number: the row may contain them although their answers were lost. */
+  private readonly unconfirmedWrites = new Map<number, SentWrite>();
   private isWriting = false;
   private isReleased = true;
-  private isRelaxed = false;
-  /** Whether little is left, so that other instances must soon learn what has ended here. */
-  private isTight = false;
-  private lastDemand: BudgetDemand = { budget: 0, most: 0 };
-  private lastExpiry = 0;
-  private usedAt: number;
+  private mayKeepUnused = false;
+  /** Whether little of the budget is left, so that each ended turn must be written soon for the other instances. */
+  private isBudgetLow = false;
+  private lastDemand: BudgetDemand = { budget: 0, maximumTokens: 0 };
+  private lastExpiresAt = 0;
+  private lastUsedAt: number;
 
   public constructor(
     private readonly address: RowAddress,
-    private readonly parts: ProgramBudgetParts,
+    private readonly dependencies: ProgramBudgetDependencies,
   ) {
-    this.usedAt = parts.timers.now();
+    this.lastUsedAt = dependencies.timers.now();
   }
 
-  /** Whether the account was empty when this instance first wrote it, and one turn has begun since. */
-  public get wasEmpty(): boolean {
-    return this.isFirstWriter && this.turnsBegun === 1;
+  /** Whether the account was empty when this instance first wrote it, and exactly one turn has started here since. */
+  public get hasOnlyFirstTurn(): boolean {
+    return this.isFirstWriter && this.startedTurns === 1;
   }
 
-  /** Whether nothing is lost when the program is forgotten here. */
-  public get isForgettable(): boolean {
+  /** Whether the object can be discarded without losing reservations or spent tokens. */
+  public get isDiscardable(): boolean {
     return (
-      (this.isReleased || this.isRelaxed) &&
+      (this.isReleased || this.mayKeepUnused) &&
       !this.isWriting &&
-      this.turnsUnderWay + this.waiting.length === 0 &&
-      this.idleMilliseconds() > FORGET_MILLISECONDS
+      this.turnsInFlight + this.waitingTurns.length === 0 &&
+      this.idleMilliseconds() > DISCARD_AFTER_IDLE_MILLISECONDS
     );
   }
 
-  /** Holds the most that a turn may generate. */
+  /** Reserves the maximum number of tokens that a turn may generate. */
   public async reserve(
     demand: BudgetDemand,
-    { expiresAt, isLater }: TurnFacts,
+    { expiresAt, hasEarlierTurns }: TurnFacts,
     signal: AbortSignal,
   ): Promise<BudgetDecision> {
     this.lastDemand = demand;
-    this.lastExpiry = expiresAt;
-    this.usedAt = this.parts.timers.now();
-    if (this.ahead >= demand.most) {
-      this.ahead -= demand.most;
-      this.taken += demand.most;
-      this.begin(demand.most);
+    this.lastExpiresAt = expiresAt;
+    this.lastUsedAt = this.dependencies.timers.now();
+    if (this.advanceTokens >= demand.maximumTokens) {
+      this.advanceTokens -= demand.maximumTokens;
+      this.usedAdvanceTokens += demand.maximumTokens;
+      this.startTurn(demand.maximumTokens);
       return 'held-ahead';
     }
-    if (this.parts.table.isAway) {
+    if (this.dependencies.table.isAway) {
       return 'unknown';
     }
     return await new Promise(resolve => {
-      const turn: WaitingTurn = { ...demand, decide: resolve, isAbandoned: false, isLater };
+      const turn: WaitingTurn = { ...demand, decide: resolve, isAbandoned: false, hasEarlierTurns };
       const abandon = (): void => {
         turn.isAbandoned = true;
-        this.waiting = this.waiting.filter(each => each !== turn);
+        this.waitingTurns = this.waitingTurns.filter(each => each !== turn);
         resolve('unknown');
       };
-      this.waiting.push(turn);
-      this.parts.timers.after(WAIT_MILLISECONDS, abandon);
+      this.waitingTurns.push(turn);
+      this.dependencies.timers.after(MAXIMUM_WAIT_MILLISECONDS, abandon);
       signal.addEventListener('abort', abandon, { once: true });
-      this.write();
+      this.startWriting();
     });
   }
 
-  /** Ends a turn: what it did not hand over may be used by the next one. */
-  public settle(most: number, tokens: number): void {
-    this.underWay -= most;
-    this.turnsUnderWay--;
-    this.ended += tokens;
-    this.ahead += most - tokens;
-    this.taken -= most - tokens;
-    this.usedAt = this.parts.timers.now();
-    if (this.isTight || this.ahead < most) {
-      this.write();
+  /** Ends a turn; the tokens that it reserved but did not deliver become available to later turns. */
+  public settle(maximumTokens: number, deliveredTokens: number): void {
+    this.inFlightTokens -= maximumTokens;
+    this.turnsInFlight--;
+    this.settledTokens += deliveredTokens;
+    this.advanceTokens += maximumTokens - deliveredTokens;
+    this.usedAdvanceTokens -= maximumTokens - deliveredTokens;
+    this.lastUsedAt = this.dependencies.timers.now();
+    if (this.isBudgetLow || this.advanceTokens < maximumTokens) {
+      this.startWriting();
     }
   }
 
-  /** Gives back what is held, whatever the program may do next. */
+  /** Releases the reservation immediately, even if the program has turns in flight. */
   public async releaseNow(): Promise<void> {
-    if (!this.isReleased && !this.isRelaxed && !this.isWriting) {
+    if (!this.isReleased && !this.mayKeepUnused && !this.isWriting) {
       this.isWriting = true;
       await this.release();
     }
   }
 
-  /** Gives back what is held when the program has had no turn here for a while. */
+  /** Releases the reservation if the program has had no turn here for {@link RELEASE_AFTER_IDLE_MILLISECONDS}. */
   public releaseIfIdle(): void {
-    const isBusy = this.turnsUnderWay + this.waiting.length > 0 || this.isWriting;
-    const isDue = !this.isReleased && !this.isRelaxed;
-    if (isDue && !isBusy && this.idleMilliseconds() > IDLE_MILLISECONDS) {
+    const isBusy = this.turnsInFlight + this.waitingTurns.length > 0 || this.isWriting;
+    const isDue = !this.isReleased && !this.mayKeepUnused;
+    if (isDue && !isBusy && this.idleMilliseconds() > RELEASE_AFTER_IDLE_MILLISECONDS) {
       this.isWriting = true;
       void this.release();
     }
   }
 
-  private begin(most: number): void {
-    this.underWay += most;
-    this.turnsUnderWay++;
-    this.turnsBegun++;
+  private startTurn(maximumTokens: number): void {
+    this.inFlightTokens += maximumTokens;
+    this.turnsInFlight++;
+    this.startedTurns++;
   }
 
   private idleMilliseconds(): number {
-    return this.parts.timers.now() - this.usedAt;
+    return this.dependencies.timers.now() - this.lastUsedAt;
   }
 
-  private write(): void {
+  private startWriting(): void {
     if (this.isWriting) {
       return;
     }
     this.isWriting = true;
     void this.writeOnce().then(isWritten => {
       this.isWriting = false;
-      if (this.waiting.length > 0 || (isWritten && this.ended > 0)) {
-        this.write();
+      if (this.waitingTurns.length > 0 || (isWritten && this.settledTokens > 0)) {
+        this.startWriting();
       } else if (!isWritten) {
-        this.parts.timers.after(RETRY_MILLISECONDS, () => {
-          this.write();
+        this.dependencies.timers.after(RETRY_MILLISECONDS, () => {
+          this.startWriting();
         });
       }
     });
   }
 
-  /** Writes what has ended and asks for those who wait; tells whether the store took it. */
+  /** Writes the settled tokens and requests tokens for the waiting turns; returns whether the store answered. */
   private async writeOnce(): Promise<boolean> {
-    const asked = this.waiting;
-    this.waiting = [];
-    const edited = await this.edit(asked, this.row, false);
-    if (edited === undefined) {
-      asked.forEach(turn => {
+    const requestingTurns = this.waitingTurns;
+    this.waitingTurns = [];
+    const isGranted = await this.requestTokens(requestingTurns, this.row, false);
+    if (isGranted === undefined) {
+      requestingTurns.forEach(turn => {
         turn.decide('unknown');
       });
       return false;
     }
-    asked.forEach((turn, index) => {
-      if (edited[index] === true) {
-        this.begin(turn.most);
+    requestingTurns.forEach((turn, index) => {
+      if (isGranted[index] === true) {
+        this.startTurn(turn.maximumTokens);
         turn.decide('held');
         if (turn.isAbandoned) {
-          this.settle(turn.most, 0);
+          this.settle(turn.maximumTokens, 0);
         }
         return;
       }
@@ -220,76 +225,94 @@
     return true;
   }
 
-  private async edit(
-    asked: readonly WaitingTurn[],
+  private async requestTokens(
+    requestingTurns: readonly WaitingTurn[],
     known: KnownRow,
-    isFresh: boolean,
+    isJustRead: boolean,
   ): Promise<readonly boolean[] | undefined> {
-    const isLikelyOld = this.row.version === 0 && asked.some(turn => turn.isLater);
-    const edited = await this.editRow(known, row => this.propose(asked, row), isLikelyOld);
+    const isLikelyStale =
+      this.row.version === 0 && requestingTurns.some(turn => turn.hasEarlierTurns);
+    const edited = await this.editRow(
+      known,
+      row => this.propose(requestingTurns, row),
+      isLikelyStale,
+    );
     if (edited === undefined) {
       return undefined;
     }
-    const { grant, proposal } = edited.answer;
-    if (grant.isGranted.includes(false) && !edited.isConfirmed && !isFresh) {
-      const fresh = await readRow(this.parts.table, this.address);
-      return fresh.err ? undefined : await this.edit(asked, fresh.val.row, true);
+    const { grant, sentWrite } = edited.answer;
+    if (grant.isGranted.includes(false) && !edited.isConfirmed && !isJustRead) {
+      const fresh = await readRow(this.dependencies.table, this.address);
+      return fresh.err ? undefined : await this.requestTokens(requestingTurns, fresh.val.row, true);
     }
-    this.ended -= proposal.ended;
-    this.ahead = grant.ahead - (this.taken - proposal.taken);
+    this.settledTokens -= sentWrite.settledTokens;
+    this.advanceTokens =
+      grant.advanceTokens - (this.usedAdvanceTokens - sentWrite.usedAdvanceTokens);
     this.isReleased = false;
-    this.isRelaxed = grant.isRelaxed;
-    this.isTight = grant.ahead === 0;
-    this.sent.clear();
+    this.mayKeepUnused = grant.mayKeepUnused;
+    this.isBudgetLow = grant.advanceTokens === 0;
+    this.unconfirmedWrites.clear();
     return grant.isGranted;
   }
 
-  private propose(asked: readonly WaitingTurn[], row: KnownRow): RowEdit<Proposal> {
-    const account = parseAccount(row.value);
-    const own = account.holds[this.parts.holder];
-    if (this.turnsBegun === 0) {
+  private propose(requestingTurns: readonly WaitingTurn[], row: KnownRow): RowEdit<Proposal> {
+    const account = decodeAccount(row.value);
+    const ownReservation = account.holds[this.dependencies.holder];
+    if (this.startedTurns === 0) {
       this.isFirstWriter = account.expiresAt === 0;
     }
-    // A write whose answer was lost is in the row: its ended turns are counted there.
-    const written = own === undefined ? 0 : (this.sent.get(own.write)?.ended ?? 0);
-    const write = ++this.writes;
+    // If a write whose answer was lost is in the row, the row already includes its settled tokens.
+    const recordedTokens =
+      ownReservation === undefined
+        ? 0
+        : (this.unconfirmedWrites.get(ownReservation.write)?.settledTokens ?? 0);
+    const writeNumber = ++this.lastWriteNumber;
     const grant = grantTokens(account, {
-      ended: this.ended - written,
-      expiresAt: this.lastExpiry,
-      holder: this.parts.holder,
-      underWay: this.underWay,
-      usual: this.lastDemand,
-      waiting: asked,
-      write,
+      settledTokens: this.settledTokens - recordedTokens,
+      expiresAt: this.lastExpiresAt,
+      holder: this.dependencies.holder,
+      inFlightTokens: this.inFlightTokens,
+      expectedDemand: this.lastDemand,
+      waitingDemands: requestingTurns,
+      write: writeNumber,
     });
-    const proposal = { ended: this.ended, taken: this.taken };
-    const hold = grant.account.holds[this.parts.holder]?.tokens;
-    if (!grant.isGranted.includes(true) && this.ended === written && hold === own?.tokens) {
-      return { answer: { grant, proposal }, kind: 'leave' };
+    const sentWrite = {
+      settledTokens: this.settledTokens,
+      usedAdvanceTokens: this.usedAdvanceTokens,
+    };
+    const proposedTokens = grant.account.holds[this.dependencies.holder]?.tokens;
+    if (
+      !grant.isGranted.includes(true) &&
+      this.settledTokens === recordedTokens &&
+      proposedTokens === ownReservation?.tokens
+    ) {
+      return { answer: { grant, sentWrite }, kind: 'leave' };
     }
-    this.ahead = Math.min(this.ahead, grant.ahead);
-    this.sent.set(write, proposal);
-    return { answer: { grant, proposal }, kind: 'write', value: encodeAccount(grant.account) };
+    this.advanceTokens = Math.min(this.advanceTokens, grant.advanceTokens);
+    this.unconfirmedWrites.set(writeNumber, sentWrite);
+    return { answer: { grant, sentWrite }, kind: 'write', value: encodeAccount(grant.account) };
   }
 
   private async release(): Promise<void> {
-    this.ahead = 0;
+    this.advanceTokens = 0;
     const edited = await this.editRow(this.row, row => {
-      const account = parseAccount(row.value);
-      if (account.holds[this.parts.holder] === undefined) {
+      const account = decodeAccount(row.value);
+      if (account.holds[this.dependencies.holder] === undefined) {
         return { answer: undefined, kind: 'leave' };
       }
-      const value = encodeAccount(releaseTokens(account, this.parts.holder, this.ended));
+      const value = encodeAccount(
+        releaseTokens(account, this.dependencies.holder, this.settledTokens),
+      );
       return { answer: undefined, kind: 'write', value };
     });
     this.isWriting = false;
     if (edited !== undefined) {
-      this.ended = 0;
+      this.settledTokens = 0;
       this.isReleased = true;
-      this.sent.clear();
+      this.unconfirmedWrites.clear();
     }
-    if (this.waiting.length > 0) {
-      this.write();
+    if (this.waitingTurns.length > 0) {
+      this.startWriting();
     }
   }
 
@@ -298,7 +321,7 @@
     edit: (row: KnownRow) => RowEdit<Answer>,
     readsFirst = false,
   ): Promise<EditedRow<Answer> | undefined> {
-    const { random, table, timers } = this.parts;
+    const { random, table, timers } = this.dependencies;
     const edited = await editRow(table, timers, this.address, known, edit, {
       maximumFailures: MAXIMUM_FAILURES,
       random,
@@ -309,27 +332,27 @@
       this.row = edited.val.row;
       return edited.val;
     }
-    this.parts.logger.warn(
+    this.dependencies.logger.warn(
       { event: 'budget-write-failed', failure: edited.val.message, program: this.address.key },
-      'the account of a program could not be written',
+      'could not write the token account of a program',
     );
     return undefined;
   }
 }
 
-/** What one write told the store. */
+/** State of a {@link ProgramBudget} that a write was based on. */
 interface SentWrite {
-  readonly ended: number;
-  /** {@link ProgramBudget} has taken this much from what was held ahead. */
-  readonly taken: number;
+  readonly settledTokens: number;
+  /** Total of the tokens granted from those reserved in advance, at the time of the write. */
+  readonly usedAdvanceTokens: number;
 }
 
 interface Proposal {
   readonly grant: BudgetGrant;
-  readonly proposal: SentWrite;
+  readonly sentWrite: SentWrite;
 }
 
-function parseAccount(value: Buffer | undefined): BudgetAccount {
+function decodeAccount(value: Buffer | undefined): BudgetAccount {
   return value === undefined ? emptyAccount : (JSON.parse(value.toString()) as BudgetAccount);
 }
 
--- a/packages/gateway/src/programs/turnBudgets.ts
+++ b/packages/gateway/src/programs/turnBudgets.ts
@@ -6,43 +6,44 @@
 import type { RunnableRequest } from '../upstreams/attemptLoop.js';
 import type { SweptTable } from '../store/rowSweeper.js';
 import type { BudgetAccount, BudgetDemand } from './budgetRow.js';
-import type { BudgetDecision, ProgramBudgetParts } from './programBudget.js';
+import type { BudgetDecision, ProgramBudgetDependencies } from './programBudget.js';
 
 import { readRow } from '../store/editRow.js';
 import { PartitionSet } from '../store/partitionSet.js';
 import { ProgramBudget } from './programBudget.js';
 
-/** Tokens held for one turn. */
+/** Tokens reserved for one turn. */
 export interface BudgetReservation {
-  /** Tells how many tokens the caller was handed; the rest is free again. */
-  settle(tokens: number): void;
-  /** Tokens that one event stands for. */
+  /** Ends the reservation with the number of tokens delivered to the caller; the remainder is released. */
+  settle(deliveredTokens: number): void;
+  /** Number of tokens that one event of the stream represents. */
   readonly tokensPerEvent: number;
-  /** Whether no turn of the program came before, at any instance. */
+  /** Whether this is the first turn of the program at any instance. */
   readonly beginsProgram: boolean;
 }
 
-/** Table of the accounts. */
+/** Table of the token accounts. */
 export const BUDGET_TABLE = 'budgets';
-/** Partitions of the table: many, so that a program whose agents all write at once delays few others. */
+/** Partitions of the table: many, so that a program with many concurrent writes delays few other programs. */
 export const budgetPartitions = new PartitionSet(BUDGET_TABLE, 256);
-/** The accounts, for removal after their end. */
+/** Description of the accounts for the removal of expired rows. */
 export const sweptBudgets: SweptTable = {
   expiresAt: row => (JSON.parse(row.value.toString()) as BudgetAccount).expiresAt,
   keysOf: row => [row.key],
   partitions: budgetPartitions.names,
   table: BUDGET_TABLE,
 };
-/** How long accounts outlive their last turn at least, in milliseconds: programs that were stopped may return. */
+/** Minimum retention of an account after its last turn, in milliseconds: a stopped program may continue. */
 const MINIMUM_RETENTION_MILLISECONDS = 60_000;
-/** Parts in the prompt of a program's first turn: what many programs share, and its own input. */
-const PARTS_OF_FIRST_TURN = 2;
-/** Pause between looks for programs that have no turns here any more, in milliseconds. */
-const SWEEP_MILLISECONDS = 1_000;
+/** Parts in the prompt of a program's first turn: a prefix shared by many programs, and the program's own input. */
+const PROMPT_PARTS_OF_FIRST_TURN = 2;
+/** Interval at which reservations of idle programs are released, in milliseconds. */
+const SWEEP_INTERVAL_MILLISECONDS = 1_000;
 
 /**
- * Keeps programs within their token budgets over all instances. A turn holds the most that it can
- * generate before it is sent, and settles for what it handed over.
+ * Enforces the token budgets of programs across all instances. Before a turn is sent, the maximum
+ * number of tokens that it can generate is reserved; when it ends, only the delivered tokens are
+ * counted.
  *
  * @example
  * const reservation = await budgets.reserve(request, signal);
@@ -50,15 +51,15 @@
  */
 export class TurnBudgets {
   private readonly programs = new Map<string, ProgramBudget>();
-  private made = 0;
+  private createdBudgets = 0;
 
-  public constructor(private readonly parts: ProgramBudgetParts) {
-    parts.timers.every(SWEEP_MILLISECONDS, () => {
+  public constructor(private readonly dependencies: ProgramBudgetDependencies) {
+    dependencies.timers.every(SWEEP_INTERVAL_MILLISECONDS, () => {
       this.sweep();
     });
   }
 
-  /** Holds what a turn may generate; nothing is held for requests without a budget. */
+  /** Reserves the maximum number of tokens of a turn; nothing is reserved for requests without a budget. */
   public async reserve(
     request: RunnableRequest,
     signal: AbortSignal,
@@ -68,65 +69,68 @@
     if (route.kind !== 'streaming' || budget === undefined || facts.programId === undefined) {
       return Ok(undefined);
     }
-    const program = this.programOf(nameOf(request));
-    const demand: BudgetDemand = { budget, most: facts.maximumOutputTokens ?? budget };
-    const retention = Math.max(MINIMUM_RETENTION_MILLISECONDS, 2 * route.retentionMilliseconds);
+    const program = this.programOf(programKeyOf(request));
+    const demand: BudgetDemand = { budget, maximumTokens: facts.maximumOutputTokens ?? budget };
+    const retentionMilliseconds = Math.max(
+      MINIMUM_RETENTION_MILLISECONDS,
+      2 * route.retentionMilliseconds,
+    );
     const decision = await program.reserve(
       demand,
       {
-        expiresAt: this.parts.timers.wallClock() + retention,
-        isLater: facts.promptParts.length > PARTS_OF_FIRST_TURN,
+        expiresAt: this.dependencies.timers.wallClock() + retentionMilliseconds,
+        hasEarlierTurns: facts.promptParts.length > PROMPT_PARTS_OF_FIRST_TURN,
       },
       signal,
     );
     this.logDecision(request, demand, decision);
-    const refusal = refusalOf(decision, this.parts.table.retryAfterSeconds);
+    const refusal = refusalOf(decision, this.dependencies.table.retryAfterSeconds);
     if (refusal !== undefined) {
       return Err(refusal);
     }
     return Ok({
-      beginsProgram: program.wasEmpty,
-      settle: tokens => {
-        program.settle(demand.most, tokens);
+      beginsProgram: program.hasOnlyFirstTurn,
+      settle: deliveredTokens => {
+        program.settle(demand.maximumTokens, deliveredTokens);
       },
       tokensPerEvent: service.engine?.tokensPerEvent ?? 1,
     });
   }
 
-  /** Whether a request is a turn of a program that has had none at any instance. */
+  /** Whether a request is the first turn of its program at any instance. */
   public async beginsProgram(request: RunnableRequest): Promise<boolean> {
     const { facts, route } = request;
     if (route.kind !== 'streaming' || facts.programId === undefined) {
       return false;
     }
-    const name = nameOf(request);
-    if (this.programs.has(name)) {
+    const programKey = programKeyOf(request);
+    if (this.programs.has(programKey)) {
       return false;
     }
-    const read = await readRow(this.parts.table, addressOf(name));
+    const read = await readRow(this.dependencies.table, addressOf(programKey));
     return read.ok && read.val.row.version === 0;
   }
 
-  /** Gives back all that is held, before a planned end. */
+  /** Releases all reservations before a planned shutdown. */
   public async releaseAll(): Promise<void> {
     await Promise.all([...this.programs.values()].map(program => program.releaseNow()));
   }
 
-  private programOf(name: string): ProgramBudget {
-    const known = this.programs.get(name);
+  private programOf(programKey: string): ProgramBudget {
+    const known = this.programs.get(programKey);
     if (known !== undefined) {
       return known;
     }
-    const holder = `${this.parts.holder}.${String(this.made++)}`;
-    const program = new ProgramBudget(addressOf(name), { ...this.parts, holder });
-    this.programs.set(name, program);
+    const holder = `${this.dependencies.holder}.${String(this.createdBudgets++)}`;
+    const program = new ProgramBudget(addressOf(programKey), { ...this.dependencies, holder });
+    this.programs.set(programKey, program);
     return program;
   }
 
   private sweep(): void {
-    for (const [name, program] of this.programs) {
-      if (program.isForgettable) {
-        this.programs.delete(name);
+    for (const [programKey, program] of this.programs) {
+      if (program.isDiscardable) {
+        this.programs.delete(programKey);
       } else {
         program.releaseIfIdle();
       }
@@ -135,15 +139,20 @@
 
   private logDecision(
     request: RunnableRequest,
-    { budget, most }: BudgetDemand,
+    { budget, maximumTokens }: BudgetDemand,
     decision: BudgetDecision,
   ): void {
-    const fields = { budget, event: `budget-${decision}`, most, request: request.facts.requestId };
+    const fields = {
+      budget,
+      event: `budget-${decision}`,
+      most: maximumTokens,
+      request: request.facts.requestId,
+    };
     if (decision === 'held' || decision === 'held-ahead') {
-      this.parts.logger.debug(fields, 'tokens are held for a turn');
+      this.dependencies.logger.debug(fields, 'reserved the tokens of a turn');
       return;
     }
-    this.parts.logger.warn(fields, 'no tokens are held for a turn');
+    this.dependencies.logger.warn(fields, 'could not reserve the tokens of a turn');
   }
 }
 
@@ -162,10 +171,10 @@
   }
 }
 
-function nameOf({ facts, workspace }: RunnableRequest): string {
+function programKeyOf({ facts, workspace }: RunnableRequest): string {
   return `${workspace ?? ''}/${facts.programId ?? ''}`;
 }
 
-function addressOf(program: string): RowAddress {
-  return { key: program, partition: budgetPartitions.of(program), table: BUDGET_TABLE };
+function addressOf(programKey: string): RowAddress {
+  return { key: programKey, partition: budgetPartitions.of(programKey), table: BUDGET_TABLE };
 }
--- a/packages/gateway/src/programs/turnRecorder.ts
+++ b/packages/gateway/src/programs/turnRecorder.ts
@@ -3,13 +3,13 @@
 import type { BudgetReservation } from './turnBudgets.js';
 
 /**
- * Counts what a turn hands over, and keeps it where the route asks for that.
+ * Counts the events of a turn for its token reservation and collects them if the turn is to be stored.
  *
  * @example
  * const recorder = new TurnRecorder(reservation, draft, signal);
  */
 export class TurnRecorder implements StreamObserver {
-  private events = 0;
+  private eventCount = 0;
 
   public constructor(
     private readonly reservation: BudgetReservation | undefined,
@@ -18,7 +18,7 @@
   ) {}
 
   public onEvent(data: Buffer): void {
-    this.events++;
+    this.eventCount++;
     this.draft?.addOutput(data);
   }
 
@@ -26,8 +26,8 @@
     return (await this.draft?.save(this.signal)) ?? true;
   }
 
-  /** Frees the tokens that were held and not handed over. */
+  /** Releases the reserved tokens that were not delivered. */
   public settle(): void {
-    this.reservation?.settle(this.events * this.reservation.tokensPerEvent);
+    this.reservation?.settle(this.eventCount * this.reservation.tokensPerEvent);
   }
 }
--- a/packages/gateway/tests/programs/turnBudgets.test.ts
+++ b/packages/gateway/tests/programs/turnBudgets.test.ts
@@ -15,7 +15,7 @@
 type Reserved = Result<BudgetReservation | undefined, ZincringError>;
 
 const BUDGET = 1_725;
-const MOST = 575;
+const MAXIMUM_TOKENS = 575;
 
 describe(TurnBudgets, () => {
   let timers: ManualTimerService;
@@ -37,15 +37,15 @@
     });
   }
 
-  async function finish<Value>(work: Promise<Value>, within = 5_000): Promise<Value> {
-    return await finishWithin(timers, work, within);
+  async function finish<Value>(work: Promise<Value>, limitMilliseconds = 5_000): Promise<Value> {
+    return await finishWithin(timers, work, limitMilliseconds);
   }
 
-  function isRefusal(reserved: Reserved): boolean {
+  function isBudgetExhausted(reserved: Reserved): boolean {
     return reserved.err && reserved.val.kind === 'budget-exhausted';
   }
 
-  it('holds nothing for requests without a budget', async () => {
+  it('reserves nothing for requests without a budget', async () => {
     const reserved = await makeInstance().reserve(
       sampleTurn('a', { tokenBudget: undefined }),
       signal,
@@ -54,13 +54,13 @@
     expect(store.calls).toBe(0);
   });
 
-  it('holds nothing for calls of tools', async () => {
+  it('reserves nothing for tool calls', async () => {
     const request = sampleTurn('a', {}, { route: sampleRoute({ kind: 'unsafe' }) });
     expect((await makeInstance().reserve(request, signal)).ok).toBe(true);
     expect(store.calls).toBe(0);
   });
 
-  it('never lets sub-agents at many instances pass the budget together', async () => {
+  it('never lets sub-agents at many instances exceed the budget together', async () => {
     const instances = Array.from({ length: 13 }, (_unused, index) => makeInstance(index + 1));
     const started = instances.flatMap((instance, index) => [
       instance.reserve(sampleTurn(`a${String(index)}`), signal),
@@ -68,25 +68,25 @@
     ]);
     const reserved = await finish(Promise.all(started));
     const granted = reserved.filter(each => each.ok).length;
-    expect(granted).toBe(Math.floor(BUDGET / MOST));
-    expect(reserved.filter(isRefusal)).toHaveLength(reserved.length - granted);
+    expect(granted).toBe(Math.floor(BUDGET / MAXIMUM_TOKENS));
+    expect(reserved.filter(isBudgetExhausted)).toHaveLength(reserved.length - granted);
   });
 
-  it('counts what was handed over, not the most', async () => {
+  it('counts the delivered tokens of ended turns, not their maximum', async () => {
     const instance = makeInstance();
-    let handed = 0;
+    let deliveredTokens = 0;
     for (let turn = 0; turn < 20; turn++) {
       const reserved = await finish(instance.reserve(sampleTurn(`t${String(turn)}`), signal));
       if (reserved.err) {
         break;
       }
       reserved.val?.settle(230);
-      handed += 230;
+      deliveredTokens += 230;
     }
-    expect(handed).toBe(230 * 6);
+    expect(deliveredTokens).toBe(230 * 6);
   });
 
-  it('tells other instances in time what is free again', async () => {
+  it('makes unused tokens available to other instances within a second', async () => {
     const first = makeInstance(1);
     const second = makeInstance(2);
     for (const id of ['a', 'b', 'c']) {
@@ -100,15 +100,15 @@
     expect((await finish(second.reserve(sampleTurn('d'), signal))).ok).toBe(true);
   });
 
-  it('counts the most of turns whose instance died', async () => {
+  it('counts the maximum of turns whose instance crashed', async () => {
     await finish(makeInstance(1).reserve(sampleTurn('a'), signal));
     await finish(makeInstance(2).reserve(sampleTurn('b'), signal));
     await finish(makeInstance(3).reserve(sampleTurn('c'), signal));
     const reserved = await finish(makeInstance(4).reserve(sampleTurn('d'), signal));
-    expect(isRefusal(reserved)).toBe(true);
+    expect(isBudgetExhausted(reserved)).toBe(true);
   });
 
-  it('does not hold twice when the answer of the store is lost', async () => {
+  it('does not reserve twice when the answer of the store is lost', async () => {
     store.faults.losesAnswers = true;
     const instance = makeInstance();
     const reserving = instance.reserve(sampleTurn('a'), signal);
@@ -117,10 +117,10 @@
     expect((await finish(reserving)).ok).toBe(true);
     expect((await finish(instance.reserve(sampleTurn('b'), signal))).ok).toBe(true);
     expect((await finish(instance.reserve(sampleTurn('c'), signal))).ok).toBe(true);
-    expect(isRefusal(await finish(instance.reserve(sampleTurn('d'), signal)))).toBe(true);
+    expect(isBudgetExhausted(await finish(instance.reserve(sampleTurn('d'), signal)))).toBe(true);
   });
 
-  it('refuses truthfully and at once with a time to come back while the store is away', async () => {
+  it('refuses immediately with a retry time while the store is unavailable', async () => {
     store.faults.isRefusing = true;
     const reserved = await finish(makeInstance().reserve(sampleTurn('a'), signal), 500);
     expect(reserved.err && reserved.val.kind).toBe('store-unavailable');
@@ -128,7 +128,7 @@
     expect(reserved.err && reserved.val.retryAfterSeconds).toBeGreaterThan(0);
   });
 
-  it('keeps the programs of workspaces apart', async () => {
+  it('counts programs of the same name in different workspaces separately', async () => {
     const instance = makeInstance();
     const other = { workspace: 'others' as never };
     for (const id of ['a', 'b', 'c']) {
@@ -137,23 +137,23 @@
     expect((await finish(instance.reserve(sampleTurn('d', {}, other), signal))).ok).toBe(true);
   });
 
-  it('reads the account again before it refuses by what it remembers', async () => {
+  it('reads the account again before it refuses because of a cached row', async () => {
     const first = makeInstance(1);
     const second = makeInstance(2);
-    const held = await finish(first.reserve(sampleTurn('a'), signal));
+    const firstReservation = await finish(first.reserve(sampleTurn('a'), signal));
     await finish(second.reserve(sampleTurn('b'), signal));
     await finish(second.reserve(sampleTurn('c'), signal));
-    if (held.ok) {
-      held.val?.settle(0);
+    if (firstReservation.ok) {
+      firstReservation.val?.settle(0);
     }
     await timers.advance(1_000);
     expect((await finish(second.reserve(sampleTurn('d'), signal))).ok).toBe(true);
   });
 
-  it('remembers what a program was handed before a long pause', async () => {
+  it('counts the tokens that a program received before a long pause', async () => {
     const instance = makeInstance();
     const budget = 10_000;
-    let handed = 0;
+    let deliveredTokens = 0;
     const runTurns = async (from: number, to: number): Promise<void> => {
       for (let turn = from; turn < to; turn++) {
         const request = sampleTurn(`t${String(turn)}`, { tokenBudget: budget });
@@ -161,18 +161,18 @@
         if (reserved.err) {
           return;
         }
-        reserved.val?.settle(MOST);
-        handed += MOST;
+        reserved.val?.settle(MAXIMUM_TOKENS);
+        deliveredTokens += MAXIMUM_TOKENS;
       }
     };
     await runTurns(0, 4);
     await timers.advance(30_000);
     await runTurns(4, 40);
-    expect(handed).toBeGreaterThan(budget / 2);
-    expect(handed).toBeLessThanOrEqual(budget + MOST);
+    expect(deliveredTokens).toBeGreaterThan(budget / 2);
+    expect(deliveredTokens).toBeLessThanOrEqual(budget + MAXIMUM_TOKENS);
   });
 
-  it('keeps programs apart', async () => {
+  it('counts different programs separately', async () => {
     const instance = makeInstance();
     for (const id of ['a', 'b', 'c']) {
       await finish(instance.reserve(sampleTurn(id), signal));
--- a/packages/gateway/tests/programs/keptTurns.test.ts
+++ b/packages/gateway/tests/programs/turnStore.test.ts
@@ -33,8 +33,8 @@
     });
   }
 
-  async function finish<Value>(work: Promise<Value>, within = 4_000): Promise<Value> {
-    return await finishWithin(timers, work, within);
+  async function finish<Value>(work: Promise<Value>, limitMilliseconds = 4_000): Promise<Value> {
+    return await finishWithin(timers, work, limitMilliseconds);
   }
 
   async function compose(
@@ -72,54 +72,54 @@
     return composed.val.body.toString();
   }
 
-  it('passes requests of other routes as they are', async () => {
+  it('leaves requests of routes that do not store turns unchanged', async () => {
     const composed = await finish(makeInstance().compose(sampleTurn('a'), signal));
     expect(composed.ok && composed.val.body.toString()).toBe('input');
     expect(composed.ok && composed.val.turn).toBeUndefined();
   });
 
-  it('puts inputs and outputs of the whole chain before the new input', async () => {
+  it('prepends the inputs and outputs of all earlier turns to the new input', async () => {
     const instance = makeInstance();
     expect(await runTurn(instance, 'a', 'A', ['1', '2'])).toBe('A');
     expect(await runTurn(instance, 'b', 'B', ['3'], 'a')).toBe('A1\n2\nB');
     expect(await runTurn(instance, 'c', 'C', [], 'b')).toBe('A1\n2\nB3\nC');
   });
 
-  it('composes the same at an instance that has just started', async () => {
+  it('composes the same body at an instance that has just started', async () => {
     await runTurn(makeInstance(), 'a', 'A', ['1']);
     await runTurn(makeInstance(), 'b', 'B', ['2'], 'a');
     expect(await runTurn(makeInstance(), 'c', 'C', [], 'b')).toBe('A1\nB2\nC');
   });
 
-  it('lets several turns go on from the same turn', async () => {
+  it('lets several turns continue the same turn', async () => {
     const instance = makeInstance();
     await runTurn(instance, 'a', 'A', ['1']);
     expect(await runTurn(instance, 'b', 'B', ['2'], 'a')).toBe('A1\nB');
     expect(await runTurn(instance, 'c', 'C', ['3'], 'a')).toBe('A1\nC');
   });
 
-  it('keeps turns that are larger than a row', async () => {
+  it('stores turns that are larger than a row', async () => {
     const large = 'x'.repeat(150_000);
     await runTurn(makeInstance(), 'a', large, ['1', large]);
     const body = await runTurn(makeInstance(), 'b', 'B', [], 'a');
     expect(body).toBe(`${large}1\n${large}\nB`);
   });
 
-  it('does not know a turn that has not ended', async () => {
+  it('answers 404 to a turn that continues one that has not ended', async () => {
     const instance = makeInstance();
     await compose(instance, 'a', 'A');
     const next = await compose(instance, 'b', 'B', 'a');
     expect(next.err && next.val.status).toBe(404);
   });
 
-  it('does not know the turn of another workspace', async () => {
+  it('answers 404 to a turn that continues one of another workspace', async () => {
     const instance = makeInstance();
     await runTurn(instance, 'a', 'A', ['1']);
     const next = await compose(instance, 'b', 'B', 'a', 'others');
     expect(next.err && next.val.status).toBe(404);
   });
 
-  it('says that it cannot tell while the store is away', async () => {
+  it('answers 503 while the store is unavailable', async () => {
     await runTurn(makeInstance(), 'a', 'A', ['1']);
     store.faults.isRefusing = true;
     const next = await compose(makeInstance(), 'b', 'B', 'a');
@@ -127,7 +127,7 @@
     expect(next.err && next.val.ran).toBe('no');
   });
 
-  it('saves once when the answer of the store is lost', async () => {
+  it('stores a turn once when the answer of the store is lost', async () => {
     const instance = makeInstance();
     const composed = await compose(instance, 'a', 'A');
     store.faults.losesAnswers = true;
@@ -138,7 +138,7 @@
     expect(await runTurn(makeInstance(), 'b', 'B', [], 'a')).toBe('AB');
   });
 
-  it('does not call a turn durable that is not', async () => {
+  it('does not report a turn as stored that is not', async () => {
     const composed = await compose(makeInstance(), 'a', 'A');
     store.faults.isRefusing = true;
     const controller = new AbortController();
