--- a/packages/gateway/src/upstreams/attemptLoop.ts
+++ b/packages/gateway/src/upstreams/attemptLoop.ts
@@ -11,11 +11,11 @@
 import type { ExchangeOutcome, ReplicaAnswer } from './replicaExchange.js';
 import type { ReplicaPool } from './replicaPool.js';
 
-import { readWholeBody } from './readWholeBody.js';
+import { readBody } from './readBody.js';
 import { exchangeWithReplica } from './replicaExchange.js';
 import { relayStream } from './streamRelay.js';
 
-/** An admitted request, ready to be sent. */
+/** An admitted request that is ready to be sent to a replica. */
 export interface RunnableRequest {
   readonly facts: RequestFacts;
   readonly route: GatewayRoute;
@@ -23,23 +23,23 @@
   readonly workspace: WorkspaceName | undefined;
   readonly method: string;
   readonly path: string;
-  /** Flat list of the caller's headers. */
+  /** Headers of the caller as a flat list of names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** When the caller must have its answer, by the steady clock. */
+  /** Deadline of the answer to the caller, on the monotonic clock, in milliseconds. */
   readonly deadline: number;
   readonly urgency: number | undefined;
 }
 
-/** Tells whether a request is still worth running. */
+/** Cancellation state of a running request. */
 export interface RequestControl {
-  /** Ends the attempt under way. */
+  /** Aborts the attempt in progress. */
   readonly signal: AbortSignal;
-  /** Whether the caller still waits; nothing new is sent for one that has left. */
+  /** Whether the caller is still waiting; no further attempt is made for a caller that has disconnected. */
   isAwaited(): boolean;
 }
 
-/** How a request ended. */
+/** Outcome of a request. */
 export type RunOutcome =
   | { readonly kind: 'aborted'; readonly mayHaveRun: boolean }
   | { readonly kind: 'failed'; readonly error: ZincringError }
@@ -48,11 +48,11 @@
       readonly kind: 'served';
       readonly status: number;
       readonly replica: UpstreamId;
-      /** Attempts that may have run, the last one included. */
+      /** Number of attempts that may have run, including the last one. */
       readonly runs: number;
     };
 
-/** What {@link AttemptLoop} works with. */
+/** Dependencies of an {@link AttemptLoop}. */
 export interface AttemptParts {
   readonly timers: TimerService;
   readonly logger: Logger;
@@ -62,12 +62,12 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** Replicas that may refuse one request before its caller is told to come back: most of a small service. */
+/** Replicas that may refuse a request before its caller is asked to retry later: most replicas of a small service. */
 const MAXIMUM_REFUSALS = 6;
-/** When a caller may come back after no replica could take its request, in seconds: about one short call. */
-const UNAVAILABLE_RETRY_SECONDS = 0.15;
-/** Largest answer that is held until it is whole, in bytes. */
-const WHOLE_ANSWER_BYTES = 1024 * 1024;
+/** Retry delay for callers whose request no replica accepted, in seconds: about the length of a short call. */
+const UNAVAILABLE_RETRY_AFTER_SECONDS = 0.15;
+/** Maximum size of an answer that is buffered until it is complete, in bytes. */
+const MAXIMUM_BUFFERED_ANSWER_BYTES = 1024 * 1024;
 
 type AttemptResult =
   | { readonly kind: 'lost'; readonly reason: string }
@@ -76,22 +76,22 @@
 
 /**
  * Sends a request to replicas until one answers. A request that may have run is sent again only
- * if its route allows it and the number of runs stays within the route's limit; one that
- * certainly did not run goes on to another replica.
+ * if its route allows it and the number of runs stays within the limit of the route; a request that
+ * certainly did not run is sent to another replica.
  *
  * @example
- * const outcome = await new AttemptLoop(parts, request, sink, observer, control).run();
+ * const outcome = await new AttemptLoop(dependencies, request, sink, observer, control).run();
  */
 export class AttemptLoop {
   private readonly excluded = new Set<ReplicaRunId>();
-  /** Attempts that may have run. */
-  private runs = 0;
+  /** Number of attempts that may have run. */
+  private possibleRuns = 0;
   private refusals = 0;
   private lastEventId: string | undefined;
   private forwardedEvents = 0;
 
   public constructor(
-    private readonly parts: AttemptParts,
+    private readonly dependencies: AttemptParts,
     private readonly request: RunnableRequest,
     private readonly sink: AnswerSink,
     private readonly observer: StreamObserver | undefined,
@@ -100,15 +100,15 @@
     this.lastEventId = request.facts.lastEventId;
   }
 
-  /** Whether a replica may have begun to work on the request. */
+  /** Whether a replica may have started to process the request. */
   public get mayHaveRun(): boolean {
-    return this.runs > 0;
+    return this.possibleRuns > 0;
   }
 
-  /** Runs the request to its end. */
+  /** Attempts the request until it is served, cancelled or failed. */
   public async run(): Promise<RunOutcome> {
     for (;;) {
-      if (this.isOver()) {
+      if (this.isCancelled()) {
         return { kind: 'aborted', mayHaveRun: this.mayHaveRun };
       }
       const entry = this.chooseReplica();
@@ -116,19 +116,22 @@
         return this.giveUp('no replica can take the request');
       }
       const result = await this.attempt(entry);
-      this.parts.metrics.attempts.inc({ end: result.kind, service: this.request.service.name });
+      this.dependencies.metrics.attempts.inc({
+        end: result.kind,
+        service: this.request.service.name,
+      });
       if (result.kind === 'served') {
-        return { ...result, replica: entry.id, runs: this.runs };
+        return { ...result, replica: entry.id, runs: this.possibleRuns };
       }
-      this.logEnd(entry, result);
-      if (result.kind === 'lost' && !this.canRunAgain() && !this.isOver()) {
+      this.logUnservedAttempt(entry, result);
+      if (result.kind === 'lost' && !this.canRunAgain() && !this.isCancelled()) {
         return this.giveUp(result.reason);
       }
       this.excluded.add(entry.runId);
     }
   }
 
-  private isOver(): boolean {
+  private isCancelled(): boolean {
     return this.control.signal.aborted || !this.control.isAwaited();
   }
 
@@ -137,7 +140,7 @@
       return undefined;
     }
     const { facts, route, service } = this.request;
-    return this.parts.pool.choose({
+    return this.dependencies.pool.choose({
       excluded: this.excluded,
       facts,
       isSticky: route.isSticky,
@@ -148,7 +151,7 @@
   private canRunAgain(): boolean {
     const { isResumable, kind, maximumAttempts } = this.request.route;
     const isRepeatable = kind === 'safe' || (kind === 'streaming' && isResumable);
-    return isRepeatable && this.runs < maximumAttempts;
+    return isRepeatable && this.possibleRuns < maximumAttempts;
   }
 
   private giveUp(reason: string): RunOutcome {
@@ -159,86 +162,89 @@
       ? new ZincringError('upstream-failed', { detail: reason })
       : new ZincringError('upstream-unavailable', {
           detail: reason,
-          retryAfterSeconds: UNAVAILABLE_RETRY_SECONDS,
+          retryAfterSeconds: UNAVAILABLE_RETRY_AFTER_SECONDS,
         });
     return { error, kind: 'failed' };
   }
 
   private async attempt(entry: ReplicaEntry): Promise<AttemptResult> {
-    const state = this.parts.pool.loads.of(entry);
-    state.inFlight++;
-    this.runs++;
+    const load = this.dependencies.pool.loads.stateOf(entry);
+    load.inFlight++;
+    this.possibleRuns++;
     try {
-      const outcome = await exchangeWithReplica(this.parts.timers, state.agent, entry, {
+      const outcome = await exchangeWithReplica(this.dependencies.timers, load.agent, entry, {
         body: this.request.body.length === 0 ? undefined : this.request.body,
         headers: this.replicaHeaders(entry),
         method: this.request.method,
         path: this.request.path,
         signal: this.control.signal,
       });
-      const result = await this.settle(entry, outcome);
+      const result = await this.evaluateOutcome(entry, outcome);
       if (result.kind === 'not-run') {
-        this.runs--;
+        this.possibleRuns--;
         this.refusals++;
       }
       return result;
     } finally {
-      state.inFlight--;
+      load.inFlight--;
     }
   }
 
   private replicaHeaders(entry: ReplicaEntry): string[] {
     const { body, deadline, headers, method, urgency, workspace } = this.request;
     const hasBody = body.length > 0 || method === 'POST' || method === 'PUT' || method === 'PATCH';
-    return this.parts.wire.toReplicaHeaders(headers, {
+    return this.dependencies.wire.toReplicaHeaders(headers, {
       contentLength: hasBody ? body.length : undefined,
       lastEventId: this.lastEventId,
-      remainingMilliseconds: Math.max(1, Math.floor(deadline - this.parts.timers.now())),
+      remainingMilliseconds: Math.max(1, Math.floor(deadline - this.dependencies.timers.now())),
       replicaId: entry.id,
       urgency,
       workspace,
     });
   }
 
-  private async settle(entry: ReplicaEntry, outcome: ExchangeOutcome): Promise<AttemptResult> {
-    const { loads } = this.parts.pool;
+  private async evaluateOutcome(
+    entry: ReplicaEntry,
+    outcome: ExchangeOutcome,
+  ): Promise<AttemptResult> {
+    const { loads } = this.dependencies.pool;
     if (outcome.kind !== 'answered') {
       if (!this.control.signal.aborted) {
-        loads.noteEnd(entry, 'unreachable');
+        loads.recordEnd(entry, 'unreachable');
         if (outcome.kind === 'lost') {
-          this.parts.crashes.note(this.request, entry);
+          this.dependencies.crashes.record(this.request, entry);
         }
       } else if (this.control.isAwaited()) {
-        loads.noteEnd(entry, 'failed');
+        loads.recordEnd(entry, 'failed');
       }
       return outcome.kind === 'lost' ? outcome : { kind: 'not-run', reason: outcome.reason };
     }
     const { answer } = outcome;
-    const facts = this.parts.wire.readAnswer(answer.status, answer.headers);
+    const facts = this.dependencies.wire.readAnswer(answer.status, answer.headers);
     if (facts.requestId !== this.request.facts.requestId && !facts.isNotExecuted) {
       answer.discard();
       return { kind: 'lost', reason: 'the answer belongs to another request' };
     }
     if (facts.isNotExecuted) {
       answer.body.resume();
-      loads.noteEnd(entry, answer.status === 421 ? 'misdirected' : 'full');
+      loads.recordEnd(entry, answer.status === 421 ? 'misdirected' : 'full');
       return { kind: 'not-run', reason: `the replica refused with ${String(answer.status)}` };
     }
     if (isSuccess(answer.status) && (!facts.isSealed || facts.isEncoded)) {
       answer.discard();
       return { kind: 'lost', reason: 'the answer does not bear the seal of the replica' };
     }
-    loads.noteEnd(entry, answer.status >= 500 ? 'failed' : 'answered');
-    return await this.takeAnswer(entry, answer);
+    loads.recordEnd(entry, answer.status >= 500 ? 'failed' : 'answered');
+    return await this.forwardAnswer(entry, answer);
   }
 
-  private async takeAnswer(entry: ReplicaEntry, answer: ReplicaAnswer): Promise<AttemptResult> {
+  private async forwardAnswer(entry: ReplicaEntry, answer: ReplicaAnswer): Promise<AttemptResult> {
     if (this.request.route.kind === 'streaming' && isSuccess(answer.status)) {
-      this.parts.pool.noteHome(this.request.facts, entry);
-      return await this.relay(answer);
+      this.dependencies.pool.recordReplica(this.request.facts, entry);
+      return await this.relayAnswer(answer);
     }
-    const whole = await readWholeBody(answer, WHOLE_ANSWER_BYTES);
-    if (whole === undefined) {
+    const body = await readBody(answer, MAXIMUM_BUFFERED_ANSWER_BYTES);
+    if (body === undefined) {
       return { kind: 'lost', reason: 'the answer broke off' };
     }
     if (answer.status >= 500 && (this.canRunAgain() || this.sink.isStarted)) {
@@ -250,16 +256,16 @@
     if (this.control.signal.aborted) {
       return { kind: 'lost', reason: 'the caller left or the time ran out' };
     }
-    const headers = this.parts.wire.toCallerHeaders(answer.headers);
-    this.sink.sendWhole(answer.status, headers, whole);
+    const headers = this.dependencies.wire.toCallerHeaders(answer.headers);
+    this.sink.sendWhole(answer.status, headers, body);
     return { kind: 'served', status: answer.status };
   }
 
-  private async relay(answer: ReplicaAnswer): Promise<AttemptResult> {
+  private async relayAnswer(answer: ReplicaAnswer): Promise<AttemptResult> {
     const end = await relayStream(answer, {
       onEvent: async event => {
         if (!this.sink.isStarted) {
-          this.sink.open(answer.status, this.parts.wire.toCallerHeaders(answer.headers));
+          this.sink.open(answer.status, this.dependencies.wire.toCallerHeaders(answer.headers));
         }
         this.lastEventId = event.id ?? this.lastEventId;
         this.forwardedEvents++;
@@ -275,14 +281,17 @@
       return { kind: 'lost', reason: 'the turn could not be kept' };
     }
     if (!this.sink.isStarted) {
-      this.sink.open(answer.status, this.parts.wire.toCallerHeaders(answer.headers));
+      this.sink.open(answer.status, this.dependencies.wire.toCallerHeaders(answer.headers));
     }
     this.sink.end();
     return { kind: 'served', status: answer.status };
   }
 
-  private logEnd(entry: ReplicaEntry, result: AttemptResult & { readonly reason?: string }): void {
-    this.parts.logger.warn(
+  private logUnservedAttempt(
+    entry: ReplicaEntry,
+    result: AttemptResult & { readonly reason?: string },
+  ): void {
+    this.dependencies.logger.warn(
       {
         event: result.kind === 'lost' ? 'attempt-lost' : 'attempt-refused',
         events: this.forwardedEvents,
@@ -290,7 +299,7 @@
         refusals: this.refusals,
         replica: entry.id,
         request: this.request.facts.requestId,
-        runs: this.runs,
+        runs: this.possibleRuns,
       },
       'an attempt did not serve the request',
     );
--- a/packages/gateway/src/upstreams/crashRecord.ts
+++ b/packages/gateway/src/upstreams/crashRecord.ts
@@ -11,156 +11,161 @@
 
 import { TableFollower } from '../store/tableFollower.js';
 
-/** What a {@link CrashRecord} works with. */
-export interface CrashRecordParts {
+/** Dependencies of a {@link CrashRecord}. */
+export interface CrashRecordDependencies {
   readonly table: PartitionedTable;
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** Makes identifiers that no other instance makes. */
+  /** Generates identifiers that are unique across all instances. */
   readonly makeId: () => string;
 }
 
 interface StoredCrash {
   readonly body: string;
   readonly upstream: string;
-  /** By the wall clock, in milliseconds. */
+  /** Time of the crash on the wall clock, in milliseconds. */
   readonly at: number;
 }
 
-/** Table in which instances tell each other of crashes. */
+/** Table through which instances report crashes to each other. */
 export const CRASH_TABLE = 'crashes';
-/** The crashes, for removal after their end. */
+/** Description of the crashes for the removal of expired rows. */
 export const sweptCrashes: SweptTable = {
-  expiresAt: row => (JSON.parse(row.value.toString()) as StoredCrash).at + REFUSED_MILLISECONDS,
+  expiresAt: row => (JSON.parse(row.value.toString()) as StoredCrash).at + REFUSAL_MILLISECONDS,
   keysOf: row => [row.key],
   partitions: [''],
   table: CRASH_TABLE,
 };
-/** Crashes after which a request is refused: as many as the operator allows a request. */
+/** Number of crashes after which a request is refused: the maximum that the operator accepts per request. */
 const MAXIMUM_CRASHES = 3;
-/** Time for which a request is refused, in milliseconds: several comebacks of a replica. */
-const REFUSED_MILLISECONDS = 120_000;
-/** Requests remembered. */
-const MAXIMUM_BODIES = 2_000;
-/** Longest wait for news of crashes, in milliseconds: news must be known everywhere within three seconds. */
-const WAIT_MILLISECONDS = 2_000;
-/** Pause after news of crashes, in milliseconds: every instance reads each of them, so they are read together. */
-const PAUSE_MILLISECONDS = 1_000;
-/** First pause after a failed read, in milliseconds. */
+/** Time for which a request is refused, in milliseconds: several restarts of a replica. */
+const REFUSAL_MILLISECONDS = 120_000;
+/** Maximum number of request bodies whose crashes are tracked. */
+const MAXIMUM_TRACKED_BODIES = 2_000;
+/** Maximum wait of a poll for crashes, in milliseconds: each crash must be known at all instances within three seconds. */
+const POLL_WAIT_MILLISECONDS = 2_000;
+/** Pause after a poll that returned crashes, in milliseconds: every instance reads every crash, so they are read in batches. */
+const POLL_PAUSE_MILLISECONDS = 1_000;
+/** Initial backoff after a failed poll, in milliseconds. */
 const BACKOFF_MILLISECONDS = 200;
-/** When a refused caller may come back, in seconds. */
-const RETRY_SECONDS = 60;
+/** Retry delay for refused callers, in seconds. */
+const RETRY_AFTER_SECONDS = 60;
 
 /**
- * Requests whose replicas crashed while running them, counted over all instances. A request that
- * has crashed three replicas is refused for a time, whoever sends it again.
+ * Counts the replicas that crashed while they ran a request, across all instances. A request that
+ * has crashed three replicas (a poison request) is refused for some time, whichever caller of the
+ * workspace sends it again.
  *
  * @example
  * const refusal = crashes.check(request);
  */
 export class CrashRecord {
   private readonly quarantine = new Quarantine({
-    durationMilliseconds: REFUSED_MILLISECONDS,
-    maxBodies: MAXIMUM_BODIES,
+    durationMilliseconds: REFUSAL_MILLISECONDS,
+    maxBodies: MAXIMUM_TRACKED_BODIES,
     maxDeaths: MAXIMUM_CRASHES,
   });
   private readonly follower: TableFollower;
 
-  public constructor(private readonly parts: CrashRecordParts) {
+  public constructor(private readonly dependencies: CrashRecordDependencies) {
     this.follower = new TableFollower(
-      parts.table,
-      parts.timers,
-      parts.logger,
+      dependencies.table,
+      dependencies.timers,
+      dependencies.logger,
       {
         backoffMilliseconds: BACKOFF_MILLISECONDS,
-        pauseMilliseconds: PAUSE_MILLISECONDS,
+        pauseMilliseconds: POLL_PAUSE_MILLISECONDS,
         table: CRASH_TABLE,
-        waitMilliseconds: WAIT_MILLISECONDS,
+        waitMilliseconds: POLL_WAIT_MILLISECONDS,
       },
       {
         onChanges: changes => {
           for (const change of changes) {
             if (change.kind === 'written') {
-              this.take(change.row.key, change.row.value);
+              this.applyRow(change.row.key, change.row.value);
             }
           }
         },
         onSnapshot: rows => {
           for (const row of rows) {
-            this.take(row.key, row.value);
+            this.applyRow(row.key, row.value);
           }
         },
       },
     );
   }
 
-  /** Begins to listen for crashes that other instances saw. */
+  /** Starts following the crashes reported by other instances. */
   public start(): void {
     this.follower.start();
   }
 
-  /** Ends. */
+  /** Stops following the crashes reported by other instances. */
   public stop(): void {
     this.follower.stop();
   }
 
-  /** The refusal of a request that has crashed too many replicas. */
+  /** Returns the refusal of a request that has crashed too many replicas, or `undefined`. */
   public check(request: RunnableRequest): ZincringError | undefined {
     if (this.quarantine.size === 0) {
       return undefined;
     }
-    const body = digestOf(request);
-    const crashes = this.quarantine.deathsOf(body, this.parts.timers.now());
+    const bodyDigest = digestOf(request);
+    const crashes = this.quarantine.deathsOf(bodyDigest, this.dependencies.timers.now());
     if (crashes < MAXIMUM_CRASHES) {
       return undefined;
     }
     return new ZincringError('upstream-unavailable', {
       detail: `the request has crashed ${String(crashes)} replicas`,
-      retryAfterSeconds: RETRY_SECONDS,
+      retryAfterSeconds: RETRY_AFTER_SECONDS,
     });
   }
 
-  /** Counts a replica that was lost while it began to run a request, and tells the other instances. */
-  public note(request: RunnableRequest, entry: ReplicaEntry): void {
-    const body = digestOf(request);
-    const death = this.parts.makeId();
-    this.remember({
+  /** Records a replica whose connection was lost while it ran a request, and reports it to the other instances. */
+  public record(request: RunnableRequest, entry: ReplicaEntry): void {
+    const bodyDigest = digestOf(request);
+    const crashId = this.dependencies.makeId();
+    this.addToQuarantine({
       ageMilliseconds: 0,
-      body,
-      death: death as DeathId,
+      body: bodyDigest,
+      death: crashId as DeathId,
       upstream: entry.id,
     });
-    const crash: StoredCrash = { at: this.parts.timers.wallClock(), body, upstream: entry.id };
-    void this.tell(death, crash);
+    const storedCrash: StoredCrash = {
+      at: this.dependencies.timers.wallClock(),
+      body: bodyDigest,
+      upstream: entry.id,
+    };
+    void this.publish(crashId, storedCrash);
   }
 
-  private async tell(death: string, crash: StoredCrash): Promise<void> {
-    const address = { key: death, partition: '', table: CRASH_TABLE };
-    const outcome = await this.parts.table.transact({
+  private async publish(crashId: string, storedCrash: StoredCrash): Promise<void> {
+    const address = { key: crashId, partition: '', table: CRASH_TABLE };
+    const outcome = await this.dependencies.table.transact({
       checks: [],
       removals: [],
-      writes: [{ ...address, value: Buffer.from(JSON.stringify(crash)) }],
+      writes: [{ ...address, value: Buffer.from(JSON.stringify(storedCrash)) }],
     });
     if (outcome.err) {
-      this.parts.logger.warn(
-        { event: 'crash-not-told', failure: outcome.val.message, replica: crash.upstream },
-        'other instances do not know of a crash',
+      this.dependencies.logger.warn(
+        { event: 'crash-not-told', failure: outcome.val.message, replica: storedCrash.upstream },
+        'could not report a crash to the other instances',
       );
     }
   }
 
-  private take(death: string, value: Buffer): void {
-    const crash = JSON.parse(value.toString()) as StoredCrash;
-    this.remember({
-      ageMilliseconds: this.parts.timers.wallClock() - crash.at,
-      body: crash.body as BodyDigest,
-      death: death as DeathId,
-      upstream: crash.upstream as UpstreamId,
+  private applyRow(crashId: string, value: Buffer): void {
+    const storedCrash = JSON.parse(value.toString()) as StoredCrash;
+    this.addToQuarantine({
+      ageMilliseconds: this.dependencies.timers.wallClock() - storedCrash.at,
+      body: storedCrash.body as BodyDigest,
+      death: crashId as DeathId,
+      upstream: storedCrash.upstream as UpstreamId,
     });
   }
 
-  private remember(death: UpstreamDeath): void {
-    this.quarantine.noteDeath(death, this.parts.timers.now());
+  private addToQuarantine(crash: UpstreamDeath): void {
+    this.quarantine.noteDeath(crash, this.dependencies.timers.now());
   }
 }
 
--- a/packages/gateway/src/upstreams/readWholeBody.ts
+++ b/packages/gateway/src/upstreams/readBody.ts
@@ -3,12 +3,12 @@
 import { readWithin } from '../util/readWithin.js';
 
 /**
- * Reads the body of an answer to its end; `undefined` when it breaks off or is too large.
+ * Reads the complete body of an answer; `undefined` if it is truncated or too large.
  *
  * @example
- * const body = await readWholeBody(answer, 1024 * 1024);
+ * const body = await readBody(answer, 1024 * 1024);
  */
-export async function readWholeBody(
+export async function readBody(
   answer: ReplicaAnswer,
   maximumBytes: number,
 ): Promise<Buffer | undefined> {
--- a/packages/gateway/src/upstreams/replica.ts
+++ b/packages/gateway/src/upstreams/replica.ts
@@ -1,9 +1,9 @@
 import type { AvailabilityZone, Brand, ServiceName, UpstreamId } from '@zincring/core';
 
-/** One run of a replica: its id together with the time of its start. */
+/** Identifies one run of a replica: its id and the time of its start. */
 export type ReplicaRunId = Brand<string, 'ReplicaRunId'>;
 
-/** What a replica says of itself. */
+/** Registration of a replica. */
 export interface ReplicaEntry {
   readonly id: UpstreamId;
   readonly runId: ReplicaRunId;
@@ -11,9 +11,9 @@
   readonly host: string;
   readonly port: number;
   readonly availabilityZone: AvailabilityZone;
-  /** Requests that it runs at the same time. */
+  /** Number of requests that the replica runs concurrently. */
   readonly slots: number;
   readonly isDraining: boolean;
-  /** How much longer it stays slow after its start, in milliseconds. */
+  /** Remaining time until the replica has warmed up after its start, in milliseconds; it is slower until then. */
   readonly coldMilliseconds: number;
 }
--- a/packages/gateway/src/upstreams/replicaAgent.ts
+++ b/packages/gateway/src/upstreams/replicaAgent.ts
@@ -3,12 +3,12 @@
 
 import { Agent } from 'node:http';
 
-/** How long a connection to a replica may stay idle before it is closed, in milliseconds: below what replicas allow. */
-const IDLE_MILLISECONDS = 2_500;
+/** Idle time after which a connection to a replica is closed, in milliseconds: less than the idle timeout of replicas. */
+const IDLE_TIMEOUT_MILLISECONDS = 2_500;
 
 /**
- * Connections to one run of a replica. Bytes that arrive on an idle connection belong to no
- * request, so the connection is closed instead of being used again.
+ * HTTP connections to one run of a replica. Data received on an idle connection belongs to no
+ * request, so the connection is closed instead of being reused.
  *
  * @example
  * const agent = new ReplicaAgent(16);
@@ -19,7 +19,7 @@
       keepAlive: true,
       maxSockets: maximumConnections,
       scheduling: 'lifo',
-      timeout: IDLE_MILLISECONDS,
+      timeout: IDLE_TIMEOUT_MILLISECONDS,
     });
   }
 
@@ -27,7 +27,7 @@
     socket.on('data', destroyOnData);
     socket.resume();
     super.keepSocketAlive(socket);
-    // Node keeps the socket only if this is true, although its types say nothing is returned.
+    // Node.js keeps the socket only if true is returned, although its type declares no return value.
     return true;
   }
 
--- a/packages/gateway/src/upstreams/replicaDirectory.ts
+++ b/packages/gateway/src/upstreams/replicaDirectory.ts
@@ -5,22 +5,22 @@
 
 import { TableFollower } from '../store/tableFollower.js';
 
-/** Where replicas register, and how to read an entry. */
+/** Table in which replicas register, and the decoder of its rows. */
 export interface ReplicaSource {
   readonly table: string;
-  /** Reads an entry; entries of other writers fail. */
+  /** Decodes an entry; fails for rows that were not written by a replica. */
   decode(id: string, value: Buffer): Result<ReplicaEntry, string>;
 }
 
-/** Times of a {@link ReplicaDirectory}. */
+/** Time settings of a {@link ReplicaDirectory}. */
 export interface ReplicaDirectoryOptions {
-  /** Longest wait of one request for changes, in milliseconds. */
+  /** Maximum wait of one poll for changes, in milliseconds. */
   readonly waitMilliseconds: number;
-  /** Pause between requests while entries change, in milliseconds. */
+  /** Pause between polls while entries change, in milliseconds. */
   readonly pauseMilliseconds: number;
-  /** Time after an outage of the store in which a missing entry may come back, in milliseconds. */
+  /** Grace period after an outage of the store in which replicas may register again, in milliseconds. */
   readonly returnMilliseconds: number;
-  /** Shortest loss of contact that counts as an outage, in milliseconds. */
+  /** Minimum time without contact to the store that counts as an outage, in milliseconds. */
   readonly outageMilliseconds: number;
 }
 
@@ -29,12 +29,12 @@
   | { readonly kind: 'gone'; readonly id: UpstreamId }
   | { readonly kind: 'seen'; readonly entry: ReplicaEntry };
 
-/** First pause after a failed read, in milliseconds. */
-const BACKOFF = 100;
+/** Initial backoff after a failed poll, in milliseconds. */
+const BACKOFF_MILLISECONDS = 100;
 
 /**
- * The replicas that have registered. Entries may lapse while the store is away; replicas that
- * are missing right after an outage are kept until they have had the time to register again.
+ * List of the registered replicas. Entries may expire while the store is unavailable; replicas that
+ * are missing right after an outage are kept for a grace period in which they can register again.
  *
  * @example
  * directory.replicasOf('minutes-llm' as ServiceName);
@@ -43,9 +43,10 @@
   private readonly entries = new Map<UpstreamId, ReplicaEntry>();
   private readonly follower: TableFollower;
   private readonly listeners: ((change: ReplicaChange) => void)[] = [];
-  /** Entries missing since an outage, with the end of their grace by the steady clock. */
+  /** Entries missing since an outage, with the end of their grace period on the monotonic clock. */
   private readonly missingUntil = new Map<UpstreamId, number>();
-  private returnsUntil = -Infinity;
+  /** End of the grace period after the last outage, on the monotonic clock. */
+  private graceUntil = -Infinity;
   private hasSnapshot = false;
 
   public constructor(
@@ -60,7 +61,7 @@
       timers,
       logger,
       {
-        backoffMilliseconds: BACKOFF,
+        backoffMilliseconds: BACKOFF_MILLISECONDS,
         pauseMilliseconds: options.pauseMilliseconds,
         table: source.table,
         waitMilliseconds: options.waitMilliseconds,
@@ -68,35 +69,35 @@
       {
         onChanges: changes => {
           changes.forEach(change => {
-            this.takeChange(change);
+            this.applyChange(change);
           });
         },
         onSnapshot: rows => {
-          this.takeSnapshot(rows);
+          this.applySnapshot(rows);
         },
       },
     );
   }
 
-  /** Whether the registered replicas were ever read. */
+  /** Whether the registered replicas have been read at least once. */
   public get isKnown(): boolean {
     return this.hasSnapshot;
   }
 
-  /** Age of what is known, in milliseconds. */
+  /** Time since the list was last confirmed by the store, in milliseconds. */
   public ageMilliseconds(): number {
     return this.follower.contactMilliseconds();
   }
 
-  /** Replicas of a service, those that drain included. */
+  /** Returns the replicas of a service, including draining ones. */
   public replicasOf(service: ServiceName): readonly ReplicaEntry[] {
-    this.dropMissing();
+    this.dropExpired();
     return [...this.entries.values()].filter(entry => entry.service === service);
   }
 
-  /** Every registered replica. */
+  /** Returns all registered replicas. */
   public all(): readonly ReplicaEntry[] {
-    this.dropMissing();
+    this.dropExpired();
     return [...this.entries.values()];
   }
 
@@ -105,20 +106,20 @@
     this.listeners.push(listener);
   }
 
-  /** Begins to follow. */
+  /** Starts following the table. */
   public start(): void {
     this.follower.start();
   }
 
-  /** Ends: the list grows old. */
+  /** Stops following the table; the list is no longer updated. */
   public stop(): void {
     this.follower.stop();
   }
 
-  private takeSnapshot(rows: readonly PartitionedRow[]): void {
+  private applySnapshot(rows: readonly PartitionedRow[]): void {
     const now = this.timers.now();
     if (this.hasSnapshot && this.ageMilliseconds() > this.options.outageMilliseconds) {
-      this.returnsUntil = now + this.options.returnMilliseconds;
+      this.graceUntil = now + this.options.returnMilliseconds;
     }
     this.hasSnapshot = true;
     const present = new Set(rows.map(row => row.key as UpstreamId));
@@ -126,19 +127,19 @@
       this.remove(id);
     }
     for (const row of rows) {
-      this.takeRow(row);
+      this.applyRow(row);
     }
   }
 
-  private takeChange(change: RowChange): void {
+  private applyChange(change: RowChange): void {
     if (change.kind === 'written') {
-      this.takeRow(change.row);
+      this.applyRow(change.row);
       return;
     }
     this.remove(change.row.key as UpstreamId);
   }
 
-  private takeRow(row: PartitionedRow): void {
+  private applyRow(row: PartitionedRow): void {
     const id = row.key as UpstreamId;
     const decoded = this.source.decode(row.key, row.value);
     if (decoded.err) {
@@ -154,9 +155,9 @@
     if (known === undefined || describe(known) !== describe(entry)) {
       this.logger.info(
         { event: 'replica-seen', replica: id, service: entry.service, state: describe(entry) },
-        'a replica has changed',
+        'a replica registered or changed its registration',
       );
-      this.tell({ entry, kind: 'seen' });
+      this.notify({ entry, kind: 'seen' });
     }
   }
 
@@ -164,14 +165,14 @@
     if (!this.entries.has(id) || this.missingUntil.has(id)) {
       return;
     }
-    if (this.timers.now() < this.returnsUntil) {
-      this.missingUntil.set(id, this.returnsUntil);
+    if (this.timers.now() < this.graceUntil) {
+      this.missingUntil.set(id, this.graceUntil);
       return;
     }
     this.drop(id, 'its entry was removed');
   }
 
-  private dropMissing(): void {
+  private dropExpired(): void {
     const now = this.timers.now();
     for (const [id, until] of this.missingUntil) {
       if (until <= now) {
@@ -183,11 +184,11 @@
   private drop(id: UpstreamId, reason: string): void {
     this.entries.delete(id);
     this.missingUntil.delete(id);
-    this.logger.info({ event: 'replica-gone', reason, replica: id }, 'a replica is gone');
-    this.tell({ id, kind: 'gone' });
+    this.logger.info({ event: 'replica-gone', reason, replica: id }, 'removed a replica');
+    this.notify({ id, kind: 'gone' });
   }
 
-  private tell(change: ReplicaChange): void {
+  private notify(change: ReplicaChange): void {
     for (const listener of this.listeners) {
       listener(change);
     }
--- a/packages/gateway/src/upstreams/replicaExchange.ts
+++ b/packages/gateway/src/upstreams/replicaExchange.ts
@@ -6,34 +6,37 @@
 import type { ReplicaEntry } from './replica.js';
 import type { ReplicaAgent } from './replicaAgent.js';
 
-/** One attempt at a replica. */
+/** Request of one attempt at a replica. */
 export interface ReplicaRequest {
   readonly method: string;
   readonly path: string;
-  /** Flat list of names and values. */
+  /** Headers as a flat list of names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
-  /** Ends the attempt; the replica sees its connection close. */
+  /** Aborts the attempt by closing the connection to the replica. */
   readonly signal: AbortSignal;
 }
 
-/** How an attempt began. `not-sent` is certain; `lost` means that the replica may have run it. */
+/**
+ * Outcome of an attempt up to the head of the answer. `not-sent` means that the replica certainly did
+ * not run the request, `lost` that it may have run it.
+ */
 export type ExchangeOutcome =
   | { readonly kind: 'answered'; readonly answer: ReplicaAnswer }
   | { readonly kind: 'lost'; readonly reason: string }
   | { readonly kind: 'not-sent'; readonly reason: string };
 
-/** The head of an answer, with its body still to come. */
+/** Head of an answer whose body has yet to be read. */
 export interface ReplicaAnswer {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: IncomingMessage;
-  /** Closes the connection, also when the answer is complete. */
+  /** Closes the connection, even if the answer is complete. */
   readonly discard: () => void;
 }
 
-/** Longest wait for a connection, in milliseconds: a replica accepts within about one. */
-const CONNECT_MILLISECONDS = 400;
+/** Timeout of opening a connection, in milliseconds; a replica normally accepts within about one. */
+const CONNECT_TIMEOUT_MILLISECONDS = 400;
 
 /**
  * Sends one attempt to a replica and waits for the head of its answer.
@@ -60,7 +63,7 @@
     const connection = watchConnection(timers, outgoing);
     outgoing.on('response', incoming => {
       connection.stop();
-      resolve({ answer: toAnswer(outgoing, incoming), kind: 'answered' });
+      resolve({ answer: buildAnswer(outgoing, incoming), kind: 'answered' });
     });
     outgoing.on('error', failure => {
       connection.stop();
@@ -76,12 +79,14 @@
   stop(): void;
 }
 
-/** Tells whether anything can have reached the replica, and gives up a connection that does not open. */
+/** Records whether the request may have reached the replica, and aborts it if the connection does not open in time. */
 function watchConnection(timers: TimerService, outgoing: ClientRequest): ConnectionWatch {
   let isOpen = false;
-  const limit = timers.after(CONNECT_MILLISECONDS, () => {
+  const timeout = timers.after(CONNECT_TIMEOUT_MILLISECONDS, () => {
     if (!isOpen) {
-      outgoing.destroy(new Error(`no connection within ${String(CONNECT_MILLISECONDS)} ms`));
+      outgoing.destroy(
+        new Error(`no connection within ${String(CONNECT_TIMEOUT_MILLISECONDS)} ms`),
+      );
     }
   });
   outgoing.on('socket', socket => {
@@ -96,13 +101,13 @@
   return {
     isOpen: () => isOpen,
     stop: () => {
-      limit.stop();
+      timeout.stop();
     },
   };
 }
 
-function toAnswer(outgoing: ClientRequest, incoming: IncomingMessage): ReplicaAnswer {
-  // Later failures of the request show in the body, which ends incomplete.
+function buildAnswer(outgoing: ClientRequest, incoming: IncomingMessage): ReplicaAnswer {
+  // A later failure of the request is detected by its incomplete body.
   incoming.on('error', () => undefined);
   return {
     body: incoming,
--- a/packages/gateway/src/upstreams/replicaLoads.ts
+++ b/packages/gateway/src/upstreams/replicaLoads.ts
@@ -4,35 +4,34 @@
 
 import { ReplicaAgent } from './replicaAgent.js';
 
-/** How an attempt at a replica ended, as far as it says something of the replica. */
+/** End of an attempt at a replica, as far as it shows the condition of the replica. */
 export type AttemptEnd = 'answered' | 'failed' | 'full' | 'misdirected' | 'unreachable';
 
-/** What this instance knows of one run of a replica by its own use. */
+/** State of one run of a replica, as observed by this instance. */
 export interface ReplicaLoadState {
   readonly agent: ReplicaAgent;
-  /** Requests that this instance has there now. */
+  /** Requests of this instance in flight at the replica. */
   inFlight: number;
-  /** Failures in a row. */
-  failures: number;
-  /** Until when the replica is used only if there is no other, by the steady clock. */
+  consecutiveFailures: number;
+  /** Time until which the replica is used only if there is no other, on the monotonic clock, in milliseconds. */
   avoidedUntil: number;
 }
 
-/** First time for which a failing replica is avoided, in milliseconds: about one of its heartbeats. */
-const AVOID_MILLISECONDS = 1_000;
-/** Longest time for which a failing replica is avoided, in milliseconds: its entry lapses by then. */
-const LONGEST_AVOID_MILLISECONDS = 8_000;
-/** Failed answers in a row after which a replica is avoided, whatever its health checks say. */
-const FAILURES_IN_A_ROW = 2;
-/** Time for which a replica that refused for lack of room is avoided, in milliseconds: about one short call. */
-const FULL_MILLISECONDS = 100;
+/** Initial time for which a failing replica is avoided, in milliseconds: about one of its heartbeat intervals. */
+const INITIAL_AVOID_MILLISECONDS = 1_000;
+/** Maximum time for which a failing replica is avoided, in milliseconds: its registration expires by then. */
+const MAXIMUM_AVOID_MILLISECONDS = 8_000;
+/** Consecutive failed answers after which a replica is avoided, whatever its health checks report. */
+const AVOID_AFTER_FAILURES = 2;
+/** Time for which a replica that refused for lack of capacity is avoided, in milliseconds: about one short call. */
+const FULL_AVOID_MILLISECONDS = 100;
 
 /**
- * The use that this instance makes of each replica: connections, requests in flight and recent
- * failures, by which replicas that fail are left alone for a while.
+ * Tracks this instance's use of each replica: connections, requests in flight and recent failures.
+ * Failing replicas are avoided for some time.
  *
  * @example
- * loads.of(entry).inFlight++;
+ * loads.stateOf(entry).inFlight++;
  */
 export class ReplicaLoads {
   private readonly states = new Map<ReplicaRunId, ReplicaLoadState>();
@@ -42,8 +41,8 @@
     private readonly connectionsPerReplica: (entry: ReplicaEntry) => number,
   ) {}
 
-  /** The state of a run, made on first use. */
-  public of(entry: ReplicaEntry): ReplicaLoadState {
+  /** Returns the state of a run, creating it on first use. */
+  public stateOf(entry: ReplicaEntry): ReplicaLoadState {
     const known = this.states.get(entry.runId);
     if (known !== undefined) {
       return known;
@@ -51,46 +50,50 @@
     const state: ReplicaLoadState = {
       agent: new ReplicaAgent(this.connectionsPerReplica(entry)),
       avoidedUntil: -Infinity,
-      failures: 0,
+      consecutiveFailures: 0,
       inFlight: 0,
     };
     this.states.set(entry.runId, state);
     return state;
   }
 
-  /** Whether a replica is left alone for now. */
+  /** Whether a replica is currently avoided. */
   public isAvoided(entry: ReplicaEntry): boolean {
-    return this.of(entry).avoidedUntil > this.timers.now();
+    return this.stateOf(entry).avoidedUntil > this.timers.now();
   }
 
-  /** Takes in how an attempt ended. */
-  public noteEnd(entry: ReplicaEntry, end: AttemptEnd): void {
-    const state = this.of(entry);
+  /** Records the end of an attempt. */
+  public recordEnd(entry: ReplicaEntry, end: AttemptEnd): void {
+    const state = this.stateOf(entry);
     switch (end) {
       case 'answered':
-        state.failures = 0;
+        state.consecutiveFailures = 0;
         return;
       case 'failed':
-        // One failure is the request's own as often as the replica's.
-        if (++state.failures >= FAILURES_IN_A_ROW) {
-          state.avoidedUntil = this.timers.now() + avoidTime(state.failures - FAILURES_IN_A_ROW);
+        // A single failure is as often caused by the request as by the replica.
+        if (++state.consecutiveFailures >= AVOID_AFTER_FAILURES) {
+          state.avoidedUntil =
+            this.timers.now() + avoidMilliseconds(state.consecutiveFailures - AVOID_AFTER_FAILURES);
         }
         return;
       case 'full':
-        state.avoidedUntil = Math.max(state.avoidedUntil, this.timers.now() + FULL_MILLISECONDS);
+        state.avoidedUntil = Math.max(
+          state.avoidedUntil,
+          this.timers.now() + FULL_AVOID_MILLISECONDS,
+        );
         return;
       case 'misdirected':
-        state.avoidedUntil = this.timers.now() + LONGEST_AVOID_MILLISECONDS;
+        state.avoidedUntil = this.timers.now() + MAXIMUM_AVOID_MILLISECONDS;
         return;
       case 'unreachable':
-        state.avoidedUntil = this.timers.now() + avoidTime(state.failures++);
+        state.avoidedUntil = this.timers.now() + avoidMilliseconds(state.consecutiveFailures++);
         return;
       default:
         end satisfies never;
     }
   }
 
-  /** Closes the idle connections of runs that are gone and forgets the runs. */
+  /** Closes the connections and discards the state of all runs but the given ones, once they have no requests in flight. */
   public retain(runs: ReadonlySet<ReplicaRunId>): void {
     for (const [run, state] of this.states) {
       if (!runs.has(run) && state.inFlight === 0) {
@@ -101,6 +104,9 @@
   }
 }
 
-function avoidTime(failures: number): number {
-  return Math.min(LONGEST_AVOID_MILLISECONDS, AVOID_MILLISECONDS * 2 ** Math.min(failures, 8));
+function avoidMilliseconds(consecutiveFailures: number): number {
+  return Math.min(
+    MAXIMUM_AVOID_MILLISECONDS,
+    INITIAL_AVOID_MILLISECONDS * 2 ** Math.min(consecutiveFailures, 8),
+  );
 }
--- a/packages/gateway/src/upstreams/replicaPlacement.ts
+++ b/packages/gateway/src/upstreams/replicaPlacement.ts
@@ -5,87 +5,90 @@
 import type { PromptPart } from '../callers/requestFacts.js';
 import type { ReplicaEntry } from './replica.js';
 
-/** A replica that may get a request, with what is known of its load. */
+/** A replica that a request may be sent to, with its load as observed by this instance. */
 export interface PlacementCandidate {
   readonly entry: ReplicaEntry;
-  /** Requests of this instance that it runs now. */
+  /** Requests of this instance in flight at the replica. */
   readonly inFlight: number;
-  /** Whether it failed of late. */
+  /** Whether the replica failed recently and should be avoided. */
   readonly isAvoided: boolean;
 }
 
-/** What the choice depends on. */
+/** Properties of a request that determine the choice of a replica. */
 export interface PlacementRequest {
   readonly availabilityZone: AvailabilityZone;
-  /** Parts of the prompt, for engines; empty for plain services. */
+  /** Parts of the prompt for engines; empty for plain services. */
   readonly promptParts: readonly PromptPart[];
-  /** What keeps related requests together: a session, or an object. */
+  /** Key by which related requests are sent to the same replica: that of a session or an object. */
   readonly affinity: string | undefined;
-  /** Replica that ran the session's last turn, when this instance knows. */
-  readonly home: UpstreamId | undefined;
+  /** Replica that ran the previous turn of the session; `undefined` if this instance does not know it. */
+  readonly previousReplica: UpstreamId | undefined;
 }
 
-/** Time that an engine needs to read one token of a prompt, in milliseconds: from the engines' data sheet. */
-const READ_MILLISECONDS_PER_TOKEN = 1 / 147;
-/** Time that each further request of a batch adds to a turn of usual length, in milliseconds: from the engines' data sheet. */
-const BATCH_MILLISECONDS_PER_REQUEST = 15;
-/** Cost of a queue place at an engine whose batch is full, in milliseconds: about one turn. */
-const QUEUE_MILLISECONDS_PER_REQUEST = 350;
+/** Prefill time of an engine per prompt token, in milliseconds: from the data sheet of the engines. */
+const PREFILL_MILLISECONDS_PER_TOKEN = 1 / 147;
+/** Time that each further request of a batch adds to a turn of usual length, in milliseconds: from the data sheet of the engines. */
+const BATCH_COST_MILLISECONDS_PER_REQUEST = 15;
+/** Cost of each queued request at an engine whose batch is full, in milliseconds: about one turn. */
+const QUEUE_COST_MILLISECONDS_PER_REQUEST = 350;
 /** Cost of a request in flight at a plain service, in milliseconds: about one call. */
-const PLAIN_MILLISECONDS_PER_REQUEST = 40;
-/** Gain at a replica that handled the object before, in milliseconds: half of a usual call. */
-const AFFINITY_MILLISECONDS = 25;
-/** Cost of leaving the availability zone, in milliseconds: a round trip. */
-const ZONE_MILLISECONDS = 2;
-/** Cost of a replica that failed of late, in milliseconds: above any other. */
-const AVOIDED_MILLISECONDS = 100_000;
+const PLAIN_COST_MILLISECONDS_PER_REQUEST = 40;
+/** Gain at a replica that has handled the object before, in milliseconds: half of a usual call. */
+const AFFINITY_GAIN_MILLISECONDS = 25;
+/** Cost of a replica in another availability zone, in milliseconds: one round trip. */
+const CROSS_ZONE_COST_MILLISECONDS = 2;
+/** Cost of a replica that failed recently, in milliseconds: higher than any other cost. */
+const AVOIDED_COST_MILLISECONDS = 100_000;
 
 /**
- * Chooses the engine at which a turn ends first: reading what its cache lacks of the prompt, and
- * sharing the batch. It answers sessions of many turns whose prompts grow: all turns of a session
- * meet the same cache, by rendezvous hashing on every instance alike, unless that engine is so
- * busy that reading the prompt again elsewhere is quicker.
+ * Chooses the engine with the lowest estimated completion time of a turn: prefill of the prompt
+ * tokens that are not in its prefix cache, sharing of the batch, and queueing. Sessions have many
+ * turns with growing prompts; rendezvous hashing, with the same result on every instance, sends all
+ * turns of a session to the same cache unless that engine is so busy that a prefill of the complete
+ * prompt at another one is faster.
  *
  * @example
- * placeAtEngine(candidates, { affinity: sessionId, availabilityZone, home, promptParts });
+ * chooseEngine(candidates, { affinity: sessionId, availabilityZone, previousReplica, promptParts });
  */
-export function placeAtEngine(
+export function chooseEngine(
   candidates: readonly PlacementCandidate[],
   request: PlacementRequest,
 ): ReplicaEntry | undefined {
-  const home = findHome(candidates, request);
+  const preferredReplica = findPreferredReplica(candidates, request);
   const promptTokens = request.promptParts.reduce((sum, part) => sum + part.tokens, 0);
-  return cheapest(candidates, candidate => {
+  return findCheapest(candidates, candidate => {
     const { entry, inFlight } = candidate;
-    const queued = Math.max(0, inFlight + 1 - entry.slots);
-    const unread = entry.id === home ? 0 : promptTokens;
+    const queuedRequests = Math.max(0, inFlight + 1 - entry.slots);
+    const uncachedTokens = entry.id === preferredReplica ? 0 : promptTokens;
     return (
-      unread * READ_MILLISECONDS_PER_TOKEN +
-      inFlight * BATCH_MILLISECONDS_PER_REQUEST +
-      queued * QUEUE_MILLISECONDS_PER_REQUEST +
+      uncachedTokens * PREFILL_MILLISECONDS_PER_TOKEN +
+      inFlight * BATCH_COST_MILLISECONDS_PER_REQUEST +
+      queuedRequests * QUEUE_COST_MILLISECONDS_PER_REQUEST +
       commonCost(candidate, request)
     );
   });
 }
 
 /**
- * Chooses the least busy replica of a plain service, near ones and those that know the object
- * first. It answers short calls, several at a time, of which an instance sees few.
+ * Chooses the least busy replica of a plain service, preferring replicas of the same availability
+ * zone and the one that has handled the object before. Calls are short, a replica runs several at a
+ * time, and one instance sees only few of them.
  *
  * @example
- * placeAtPlainService(candidates, { affinity: objectId, availabilityZone, home, promptParts: [] });
+ * choosePlainReplica(candidates, request, Math.random);
  */
-export function placeAtPlainService(
+export function choosePlainReplica(
   candidates: readonly PlacementCandidate[],
   request: PlacementRequest,
   random: () => number,
 ): ReplicaEntry | undefined {
-  const home = request.affinity === undefined ? undefined : findHome(candidates, request);
-  return cheapest(candidates, candidate => {
+  const preferredReplica =
+    request.affinity === undefined ? undefined : findPreferredReplica(candidates, request);
+  return findCheapest(candidates, candidate => {
     const { entry, inFlight } = candidate;
     return (
-      inFlight * (PLAIN_MILLISECONDS_PER_REQUEST / Math.max(1, entry.slots / 6)) +
-      (entry.id === home ? -AFFINITY_MILLISECONDS : 0) +
+      inFlight * (PLAIN_COST_MILLISECONDS_PER_REQUEST / Math.max(1, entry.slots / 6)) +
+      (entry.id === preferredReplica ? -AFFINITY_GAIN_MILLISECONDS : 0) +
       random() +
       commonCost(candidate, request)
     );
@@ -95,28 +98,28 @@
 function commonCost(candidate: PlacementCandidate, request: PlacementRequest): number {
   const { entry, isAvoided } = candidate;
   return (
-    (isAvoided ? AVOIDED_MILLISECONDS : 0) +
-    (entry.availabilityZone === request.availabilityZone ? 0 : ZONE_MILLISECONDS) +
-    Math.min(entry.coldMilliseconds, AVOIDED_MILLISECONDS) / 100
+    (isAvoided ? AVOIDED_COST_MILLISECONDS : 0) +
+    (entry.availabilityZone === request.availabilityZone ? 0 : CROSS_ZONE_COST_MILLISECONDS) +
+    Math.min(entry.coldMilliseconds, AVOIDED_COST_MILLISECONDS) / 100
   );
 }
 
-function findHome(
+function findPreferredReplica(
   candidates: readonly PlacementCandidate[],
   request: PlacementRequest,
 ): UpstreamId | undefined {
-  if (candidates.some(({ entry }) => entry.id === request.home)) {
-    return request.home;
+  if (candidates.some(({ entry }) => entry.id === request.previousReplica)) {
+    return request.previousReplica;
   }
   const affinity = request.affinity;
   if (affinity === undefined) {
     return undefined;
   }
   const usable = candidates.filter(({ isAvoided }) => !isAvoided);
-  return cheapest(usable, ({ entry }) => hash32(`${affinity}\n${entry.id}`))?.id;
+  return findCheapest(usable, ({ entry }) => hash32(`${affinity}\n${entry.id}`))?.id;
 }
 
-function cheapest(
+function findCheapest(
   candidates: readonly PlacementCandidate[],
   costOf: (candidate: PlacementCandidate) => number,
 ): ReplicaEntry | undefined {
--- a/packages/gateway/src/upstreams/replicaPool.ts
+++ b/packages/gateway/src/upstreams/replicaPool.ts
@@ -9,26 +9,28 @@
 import type { ReplicaLoads } from './replicaLoads.js';
 import type { PlacementCandidate } from './replicaPlacement.js';
 
-import { placeAtEngine, placeAtPlainService } from './replicaPlacement.js';
+import { chooseEngine, choosePlainReplica } from './replicaPlacement.js';
 
-/** Sessions whose replica is remembered: several minutes of an instance's share of the sessions. */
-const REMEMBERED_SESSIONS = 20_000;
+/** Maximum number of sessions whose replica is remembered: an instance's share of several minutes of sessions. */
+const MAXIMUM_REMEMBERED_SESSIONS = 20_000;
 
-/** Part of the replicas of a service that may be left alone at the same time. */
+/** Maximum share of the replicas of a service that are avoided at the same time. */
 const MAXIMUM_AVOIDED_SHARE = 0.5;
 
-/** What a choice is made for. */
+/** Request for which a replica is chosen. */
 export interface PoolRequest {
   readonly service: GatewayService;
   readonly facts: RequestFacts;
   readonly isSticky: boolean;
-  /** Replicas that have had this request. */
+  /** Replica runs that were already tried for this request. */
   readonly excluded: ReadonlySet<ReplicaRunId>;
 }
 
-/** Registered replicas with the load that this instance puts on them. */
+/** Chooses among the registered replicas by the load that this instance puts on them. */
 export class ReplicaPool {
-  private readonly homes = new LRUCache<SessionId, UpstreamId>({ max: REMEMBERED_SESSIONS });
+  private readonly previousReplicas = new LRUCache<SessionId, UpstreamId>({
+    max: MAXIMUM_REMEMBERED_SESSIONS,
+  });
 
   public constructor(
     private readonly directory: ReplicaDirectory,
@@ -37,33 +39,34 @@
     private readonly random: () => number,
   ) {}
 
-  /** The replica for a request; `undefined` when none is left. */
+  /** Chooses the replica for a request; `undefined` if none is left. */
   public choose({ excluded, facts, isSticky, service }: PoolRequest): ReplicaEntry | undefined {
-    const candidates = this.candidatesOf(service, excluded);
+    const candidates = this.findCandidates(service, excluded);
     const request = {
       affinity: service.engine === undefined ? affinityOf(facts, isSticky) : facts.sessionId,
       availabilityZone: this.availabilityZone,
-      home: facts.sessionId === undefined ? undefined : this.homes.get(facts.sessionId),
+      previousReplica:
+        facts.sessionId === undefined ? undefined : this.previousReplicas.get(facts.sessionId),
       promptParts: facts.promptParts,
     };
     return service.engine === undefined
-      ? placeAtPlainService(candidates, request, this.random)
-      : placeAtEngine(candidates, request);
+      ? choosePlainReplica(candidates, request, this.random)
+      : chooseEngine(candidates, request);
   }
 
-  /** Remembers where a session's turn runs, since that replica's cache holds its prompt. */
-  public noteHome(facts: RequestFacts, entry: ReplicaEntry): void {
+  /** Remembers the replica that runs a turn of a session, since its prefix cache contains the prompt. */
+  public recordReplica(facts: RequestFacts, entry: ReplicaEntry): void {
     if (facts.sessionId !== undefined && facts.promptParts.length > 0) {
-      this.homes.set(facts.sessionId, entry.id);
+      this.previousReplicas.set(facts.sessionId, entry.id);
     }
   }
 
-  /** Forgets the connections to replicas that have left. */
+  /** Closes the connections to replicas that are no longer registered. */
   public sweep(): void {
     this.loads.retain(new Set(this.directory.all().map(entry => entry.runId)));
   }
 
-  private candidatesOf(
+  private findCandidates(
     service: GatewayService,
     excluded: ReadonlySet<ReplicaRunId>,
   ): readonly PlacementCandidate[] {
@@ -72,15 +75,15 @@
       .filter(entry => !entry.isDraining)
       .map(entry => ({
         entry,
-        inFlight: this.loads.of(entry).inFlight,
+        inFlight: this.loads.stateOf(entry).inFlight,
         isAvoided: this.loads.isAvoided(entry),
       }));
-    const avoided = candidates.filter(({ isAvoided }) => isAvoided).length;
-    // When most replicas fail, the cause lies elsewhere, and the rest would be overrun.
-    const isAvoiding = avoided <= candidates.length * MAXIMUM_AVOIDED_SHARE;
+    const avoidedCount = candidates.filter(({ isAvoided }) => isAvoided).length;
+    // If most replicas fail, the cause is elsewhere, and avoiding them would overload the others.
+    const mayAvoid = avoidedCount <= candidates.length * MAXIMUM_AVOIDED_SHARE;
     return candidates
       .filter(({ entry }) => !excluded.has(entry.runId))
-      .map(candidate => ({ ...candidate, isAvoided: isAvoiding && candidate.isAvoided }));
+      .map(candidate => ({ ...candidate, isAvoided: mayAvoid && candidate.isAvoided }));
   }
 }
 
--- a/packages/gateway/src/upstreams/streamRelay.ts
+++ b/packages/gateway/src/upstreams/streamRelay.ts
@@ -3,15 +3,15 @@
 
 import { EventSplitter } from '../callers/eventSplitter.js';
 
-/** What {@link relayStream} does with the events. */
+/** Options of {@link relayStream}. */
 export interface StreamRelayOptions {
   readonly onEvent: (event: StreamEvent) => Promise<void>;
   readonly signal: AbortSignal;
 }
 
 /**
- * Hands over the events of a stream as they arrive, whole events only. A stream is complete when
- * its body ended as its framing says and no event is left half.
+ * Passes on the events of a stream as they arrive, each only when it is complete. A stream is
+ * complete if its body ended according to its HTTP framing and its last event is complete.
  *
  * @example
  * const end = await relayStream(answer, { onEvent: forward, signal });
@@ -20,10 +20,10 @@
   answer: ReplicaAnswer,
   options: StreamRelayOptions,
 ): Promise<'broken' | 'complete'> {
-  const splitter = new EventSplitter();
+  const eventSplitter = new EventSplitter();
   try {
     for await (const chunk of answer.body as AsyncIterable<Buffer>) {
-      for (const event of splitter.push(chunk)) {
+      for (const event of eventSplitter.push(chunk)) {
         await options.onEvent(event);
       }
       if (options.signal.aborted) {
@@ -32,8 +32,8 @@
       }
     }
   } catch {
-    // An error of the body means that the connection was lost; the caller of this function logs it.
+    // An error while reading the body means that the connection was lost; the caller of this function logs it.
     return 'broken';
   }
-  return answer.body.complete && splitter.pendingBytes === 0 ? 'complete' : 'broken';
+  return answer.body.complete && eventSplitter.pendingBytes === 0 ? 'complete' : 'broken';
 }
--- a/packages/gateway/tests/upstreams/crashRecord.test.ts
+++ b/packages/gateway/tests/upstreams/crashRecord.test.ts
@@ -9,17 +9,17 @@
   let timers: ManualTimerService;
   let store: MemoryTable;
   let instances: CrashRecord[];
-  let ids: number;
+  let nextId: number;
 
   beforeEach(async () => {
     timers = new ManualTimerService();
     store = new MemoryTable(timers);
-    ids = 0;
+    nextId = 0;
     instances = [1, 2, 3].map(
       () =>
         new CrashRecord({
           logger: silentLogger,
-          makeId: () => `crash-${String(ids++)}`,
+          makeId: () => `crash-${String(nextId++)}`,
           table: store.client(),
           timers,
         }),
@@ -32,16 +32,16 @@
 
   const poison = sampleTurn('a', {}, { body: Buffer.from('poison') });
 
-  it('refuses a request everywhere after it crashed three replicas at several instances', async () => {
-    instances[0]!.note(poison, sampleReplica('r1'));
-    instances[1]!.note(poison, sampleReplica('r2'));
+  it('refuses a request at all instances after it crashed three replicas at several instances', async () => {
+    instances[0]!.record(poison, sampleReplica('r1'));
+    instances[1]!.record(poison, sampleReplica('r2'));
     await timers.advance(2_500);
     expect(instances.map(instance => instance.check(poison))).toEqual([
       undefined,
       undefined,
       undefined,
     ]);
-    instances[2]!.note(poison, sampleReplica('r1'));
+    instances[2]!.record(poison, sampleReplica('r1'));
     await timers.advance(2_900);
     for (const instance of instances) {
       const refusal = instance.check(poison);
@@ -50,40 +50,40 @@
     }
   });
 
-  it('reads the news of many crashes together', async () => {
+  it('reads many crashes in batches', async () => {
     const callsBefore = store.calls;
     for (let crash = 0; crash < 30; crash++) {
-      instances[0]!.note(sampleTurn(`request-${String(crash)}`), sampleReplica('r1'));
+      instances[0]!.record(sampleTurn(`request-${String(crash)}`), sampleReplica('r1'));
       await timers.advance(100);
     }
     const reads = store.calls - callsBefore - 30;
     expect(reads).toBeLessThanOrEqual(4 * instances.length);
   });
 
-  it('counts a body, not the request id, which is new with each attempt', async () => {
+  it('counts crashes by body, not by request id, which differs for each attempt', async () => {
     for (const id of ['a', 'b', 'c']) {
       const attempt = sampleTurn(id, {}, { body: Buffer.from('poison') });
-      instances[0]!.note(attempt, sampleReplica('r1'));
+      instances[0]!.record(attempt, sampleReplica('r1'));
     }
     await timers.advance(100);
-    const again = sampleTurn('d', {}, { body: Buffer.from('poison') });
-    expect(instances[0]!.check(again)).toBeDefined();
-    const other = sampleTurn('d', {}, { body: Buffer.from('harmless') });
-    expect(instances[0]!.check(other)).toBeUndefined();
+    const repeatedRequest = sampleTurn('d', {}, { body: Buffer.from('poison') });
+    expect(instances[0]!.check(repeatedRequest)).toBeDefined();
+    const differentRequest = sampleTurn('d', {}, { body: Buffer.from('harmless') });
+    expect(instances[0]!.check(differentRequest)).toBeUndefined();
   });
 
-  it('remembers own crashes while the store is away', async () => {
+  it('counts crashes of its own requests while the store is unavailable', async () => {
     store.faults.isRefusing = true;
     for (let crash = 0; crash < 3; crash++) {
-      instances[0]!.note(poison, sampleReplica('r1'));
+      instances[0]!.record(poison, sampleReplica('r1'));
     }
     await timers.advance(100);
     expect(instances[0]!.check(poison)).toBeDefined();
   });
 
-  it('lets the request run again after a while', async () => {
+  it('accepts the request again after the refusal period', async () => {
     for (let crash = 0; crash < 3; crash++) {
-      instances[0]!.note(poison, sampleReplica('r1'));
+      instances[0]!.record(poison, sampleReplica('r1'));
     }
     await timers.advance(130_000);
     expect(instances[0]!.check(poison)).toBeUndefined();
--- a/packages/gateway/tests/upstreams/replicaDirectory.test.ts
+++ b/packages/gateway/tests/upstreams/replicaDirectory.test.ts
@@ -10,7 +10,7 @@
   sampleReplicaSource,
 } from '../support/samples.js';
 
-const DRAIN = 2_000;
+const DRAIN_MILLISECONDS = 2_000;
 
 describe(ReplicaDirectory, () => {
   let timers: ManualTimerService;
@@ -38,15 +38,15 @@
     await timers.advance(100);
   });
 
-  function usable(): readonly string[] {
+  function usableReplicas(): readonly string[] {
     return directory
       .replicasOf(engineService.name)
       .filter(entry => !entry.isDraining)
       .map(entry => entry.id);
   }
 
-  it('knows the replicas of a service', () => {
-    expect(usable()).toEqual(['r1', 'r2']);
+  it('lists the replicas of a service', () => {
+    expect(usableReplicas()).toEqual(['r1', 'r2']);
   });
 
   it.each([
@@ -54,29 +54,29 @@
     ['is replaced by an entry of another writer', () => 'not an entry'],
   ])('stops using a replica that %s in time', async (_name, entry) => {
     store.put(addressOf('r1'), entry());
-    await timers.advance(DRAIN / 2);
-    expect(usable()).toEqual(['r2']);
+    await timers.advance(DRAIN_MILLISECONDS / 2);
+    expect(usableReplicas()).toEqual(['r2']);
   });
 
-  it('stops using a replica that is gone in time', async () => {
+  it('stops using a removed replica in time', async () => {
     store.remove(addressOf('r1'));
-    await timers.advance(DRAIN / 2);
-    expect(usable()).toEqual(['r2']);
+    await timers.advance(DRAIN_MILLISECONDS / 2);
+    expect(usableReplicas()).toEqual(['r2']);
   });
 
-  it('keeps the others when an entry cannot be read', async () => {
+  it('keeps the other replicas when an entry cannot be decoded', async () => {
     store.put(addressOf('r3'), 'not an entry');
     await timers.advance(1_000);
-    expect(usable()).toEqual(['r1', 'r2']);
+    expect(usableReplicas()).toEqual(['r1', 'r2']);
   });
 
-  it('keeps the replicas while the store is away', async () => {
+  it('keeps the replicas while the store is unavailable', async () => {
     store.faults.isSilent = true;
     await timers.advance(10_000);
-    expect(usable()).toEqual(['r1', 'r2']);
+    expect(usableReplicas()).toEqual(['r1', 'r2']);
   });
 
-  it('waits for entries that lapsed while the store was away', async () => {
+  it('keeps replicas whose entries expired during an outage for the grace period', async () => {
     store.faults.isSilent = true;
     await timers.advance(6_000);
     store.remove(addressOf('r1'));
@@ -84,13 +84,13 @@
     store.compact();
     store.faults.isSilent = false;
     await timers.advance(1_000);
-    expect(usable()).toEqual(['r1', 'r2']);
+    expect(usableReplicas()).toEqual(['r1', 'r2']);
     store.put(addressOf('r2'), sampleReplica('r2'));
     await timers.advance(2_500);
-    expect(usable()).toEqual(['r2']);
+    expect(usableReplicas()).toEqual(['r2']);
   });
 
-  it('tells a replica that started again under its id from the earlier run', async () => {
+  it('reports a new run of a replica that restarted under the same id', async () => {
     const runs: string[] = [];
     directory.subscribe(change => {
       if (change.kind === 'seen') {
--- a/packages/gateway/tests/upstreams/replicaLoads.test.ts
+++ b/packages/gateway/tests/upstreams/replicaLoads.test.ts
@@ -20,29 +20,29 @@
   it.each<[string, readonly AttemptEnd[], boolean]>([
     ['a lost connection', ['unreachable'], true],
     ['another replica at the address', ['misdirected'], true],
-    ['a refusal for lack of room', ['full'], true],
+    ['a refusal for lack of capacity', ['full'], true],
     ['one failed answer', ['failed'], false],
     ['two failed answers in a row', ['failed', 'failed'], true],
-    ['failed answers with others between', ['failed', 'answered', 'failed'], false],
-  ])('after %s', (_name, ends, isAvoided) => {
+    ['failed answers with a success between them', ['failed', 'answered', 'failed'], false],
+  ])('evaluates whether to avoid a replica after %s', (_name, ends, isAvoided) => {
     ends.forEach(end => {
-      loads.noteEnd(replica, end);
+      loads.recordEnd(replica, end);
     });
     expect(loads.isAvoided(replica)).toBe(isAvoided);
   });
 
-  it('comes back, and stays away longer each time', async () => {
-    loads.noteEnd(replica, 'unreachable');
+  it('avoids a replica for a limited time that grows with each failure', async () => {
+    loads.recordEnd(replica, 'unreachable');
     await timers.advance(1_000);
     expect(loads.isAvoided(replica)).toBe(false);
-    loads.noteEnd(replica, 'unreachable');
+    loads.recordEnd(replica, 'unreachable');
     await timers.advance(1_500);
     expect(loads.isAvoided(replica)).toBe(true);
     await timers.advance(600);
     expect(loads.isAvoided(replica)).toBe(false);
   });
 
-  it('lets fewer requests fail at a replica that fails half of them while its checks are good', async () => {
+  it('reduces the failures at a replica that fails half of its requests but passes its health checks', async () => {
     const random = makeRandom(3);
     const other = sampleReplica('r2');
     let failed = 0;
@@ -50,15 +50,15 @@
       const useFirst = !loads.isAvoided(replica) && random() < 0.5;
       const fails = useFirst && random() < 0.45;
       failed += fails ? 1 : 0;
-      loads.noteEnd(useFirst ? replica : other, fails ? 'failed' : 'answered');
+      loads.recordEnd(useFirst ? replica : other, fails ? 'failed' : 'answered');
       await timers.advance(50);
     }
-    // Without leaving it alone, 90 of the 400 requests would fail.
+    // If the replica were not avoided, 90 of the 400 requests would fail.
     expect(failed).toBeLessThan(60);
   });
 
-  it('forgets runs that have left', () => {
-    loads.noteEnd(replica, 'unreachable');
+  it('discards the state of runs that are no longer registered', () => {
+    loads.recordEnd(replica, 'unreachable');
     loads.retain(new Set());
     expect(loads.isAvoided(replica)).toBe(false);
   });
--- a/packages/gateway/tests/upstreams/replicaPlacement.test.ts
+++ b/packages/gateway/tests/upstreams/replicaPlacement.test.ts
@@ -5,10 +5,10 @@
 import type { PromptPart } from '../../src/callers/requestFacts.js';
 import type { PlacementCandidate, PlacementRequest } from '../../src/upstreams/replicaPlacement.js';
 
-import { placeAtEngine, placeAtPlainService } from '../../src/upstreams/replicaPlacement.js';
+import { chooseEngine, choosePlainReplica } from '../../src/upstreams/replicaPlacement.js';
 import { sampleReplica } from '../support/samples.js';
 
-function candidates(
+function sampleCandidates(
   count: number,
   overrides: Partial<PlacementCandidate> = {},
 ): PlacementCandidate[] {
@@ -24,71 +24,73 @@
   return {
     affinity: 'session-1',
     availabilityZone: 'nelson' as AvailabilityZone,
-    home: undefined,
+    previousReplica: undefined,
     promptParts: [{ id: 'shared' as PromptPart['id'], tokens: 12_600 }],
     ...overrides,
   };
 }
 
-describe(placeAtEngine, () => {
-  it('chooses alike on every instance', () => {
-    const forward = placeAtEngine(candidates(13), sampleRequest());
-    const backward = placeAtEngine(candidates(13).reverse(), sampleRequest());
+describe(chooseEngine, () => {
+  it('chooses the same engine on every instance', () => {
+    const forward = chooseEngine(sampleCandidates(13), sampleRequest());
+    const backward = chooseEngine(sampleCandidates(13).reverse(), sampleRequest());
     expect(forward?.id).toBe(backward?.id);
   });
 
-  it('stays with the engine that ran the last turn', () => {
-    const home = 'r4' as UpstreamId;
-    expect(placeAtEngine(candidates(13), sampleRequest({ home }))?.id).toBe(home);
+  it('prefers the engine that ran the previous turn', () => {
+    const previousReplica = 'r4' as UpstreamId;
+    expect(chooseEngine(sampleCandidates(13), sampleRequest({ previousReplica }))?.id).toBe(
+      previousReplica,
+    );
   });
 
-  it('leaves the home when its queue costs more than reading the prompt again', () => {
-    const home = 'r4' as UpstreamId;
-    const busy = candidates(13).map(candidate =>
-      candidate.entry.id === home ? { ...candidate, inFlight: 13 } : candidate,
+  it('chooses another engine when queueing at the previous one costs more than a prefill of the prompt', () => {
+    const previousReplica = 'r4' as UpstreamId;
+    const busy = sampleCandidates(13).map(candidate =>
+      candidate.entry.id === previousReplica ? { ...candidate, inFlight: 13 } : candidate,
     );
-    expect(placeAtEngine(busy, sampleRequest({ home }))?.id).not.toBe(home);
+    expect(chooseEngine(busy, sampleRequest({ previousReplica }))?.id).not.toBe(previousReplica);
   });
 
-  it('spreads the sessions of one shared prompt over all engines', () => {
+  it('spreads sessions with the same shared prompt over all engines', () => {
     const counts = new Map<string, number>();
     for (let session = 0; session < 1_300; session++) {
       const request = sampleRequest({ affinity: `session-${String(session)}` });
-      const id = placeAtEngine(candidates(13), request)?.id ?? '';
+      const id = chooseEngine(sampleCandidates(13), request)?.id ?? '';
       counts.set(id, (counts.get(id) ?? 0) + 1);
     }
     expect(counts.size).toBe(13);
     expect(Math.max(...counts.values())).toBeLessThan(150);
   });
 
-  it('uses an engine that failed only when there is no other', () => {
-    const failing = candidates(2, { isAvoided: true });
-    expect(placeAtEngine(failing, sampleRequest())).toBeDefined();
+  it('uses a failing engine only when there is no other', () => {
+    const failing = sampleCandidates(2, { isAvoided: true });
+    expect(chooseEngine(failing, sampleRequest())).toBeDefined();
     const [first, second] = failing;
     const mixed = [first!, { ...second!, isAvoided: false }];
-    expect(placeAtEngine(mixed, sampleRequest())?.id).toBe('r1');
+    expect(chooseEngine(mixed, sampleRequest())?.id).toBe('r1');
   });
 
-  it('has nothing to choose from an empty list', () => {
-    expect(placeAtEngine([], sampleRequest())).toBeUndefined();
+  it('returns undefined for an empty list', () => {
+    expect(chooseEngine([], sampleRequest())).toBeUndefined();
   });
 });
 
-describe(placeAtPlainService, () => {
+describe(choosePlainReplica, () => {
   it('chooses the least busy replica', () => {
-    const busy = candidates(4, { inFlight: 2 });
+    const busy = sampleCandidates(4, { inFlight: 2 });
     busy[2] = { ...busy[2]!, inFlight: 0 };
     const request = sampleRequest({ affinity: undefined, promptParts: [] });
-    expect(placeAtPlainService(busy, request, () => 0.5)?.id).toBe('r2');
+    expect(choosePlainReplica(busy, request, () => 0.5)?.id).toBe('r2');
   });
 
-  it('prefers its own availability zone among equals', () => {
-    const far = candidates(4).map(candidate => ({
+  it('prefers its own availability zone among equally busy replicas', () => {
+    const distant = sampleCandidates(4).map(candidate => ({
       ...candidate,
       entry: { ...candidate.entry, availabilityZone: 'trail' as AvailabilityZone },
     }));
-    far[3] = candidates(4)[3]!;
+    distant[3] = sampleCandidates(4)[3]!;
     const request = sampleRequest({ affinity: undefined, promptParts: [] });
-    expect(placeAtPlainService(far, request, () => 0.9)?.id).toBe('r3');
+    expect(choosePlainReplica(distant, request, () => 0.9)?.id).toBe('r3');
   });
 });
