--- a/packages/coordination/src/leases/expiredSessions.ts
+++ b/packages/coordination/src/leases/expiredSessionReaper.ts
@@ -4,8 +4,8 @@
 import { sessionRowKey } from './leaseRows.js';
 import { SessionObserver } from './sessionObserver.js';
 
-/** What finding expired sessions needs. */
-export interface ExpiredSessionsOptions {
+/** Options of an {@link ExpiredSessionReaper}. */
+export interface ExpiredSessionReaperOptions {
   readonly table: TableService;
   readonly timers: TimerService;
   readonly logger: Logger;
@@ -13,49 +13,51 @@
 }
 
 /** Watches the sessions of other holders and ends those that have expired. */
-export class ExpiredSessions {
+export class ExpiredSessionReaper {
   private readonly observer: SessionObserver;
 
-  public constructor(private readonly options: ExpiredSessionsOptions) {
+  public constructor(private readonly options: ExpiredSessionReaperOptions) {
     this.observer = new SessionObserver(options.timers, options.termMilliseconds);
   }
 
   /**
-   * Reads the sessions of holders and ends those that have expired, so that they can never be
-   * renewed again.
+   * Reads the sessions of the given holders and deletes the rows of those that have expired, so
+   * that they can never be renewed again.
    *
-   * @returns the incarnations whose session has certainly ended
+   * @returns the incarnations whose sessions are known to have ended
    */
-  public async find(holders: ReadonlySet<IncarnationId>): Promise<ReadonlySet<IncarnationId>> {
+  public async endExpired(
+    holders: ReadonlySet<IncarnationId>,
+  ): Promise<ReadonlySet<IncarnationId>> {
     this.observer.retain(holders);
     const incarnations = [...holders];
-    const ended = new Set<IncarnationId>();
+    const endedIncarnations = new Set<IncarnationId>();
     if (incarnations.length === 0) {
-      return ended;
+      return endedIncarnations;
     }
-    const startedAt = this.options.timers.now();
+    const readStartedAt = this.options.timers.now();
     const read = await this.options.table.read(incarnations.map(sessionRowKey));
     if (read.err) {
-      return ended;
+      return endedIncarnations;
     }
     for (const [index, row] of read.val.entries()) {
       const incarnation = incarnations[index];
-      if (incarnation === undefined || !this.observer.observe(incarnation, row, startedAt)) {
+      if (incarnation === undefined || !this.observer.observe(incarnation, row, readStartedAt)) {
         continue;
       }
       if (row.version === 0 || (await this.end(incarnation, row))) {
-        ended.add(incarnation);
+        endedIncarnations.add(incarnation);
       }
     }
-    return ended;
+    return endedIncarnations;
   }
 
   private async end(incarnation: IncarnationId, row: Row): Promise<boolean> {
-    const ended = await this.options.table.transact({
+    const outcome = await this.options.table.transact({
       checks: [{ key: row.key, version: row.version }],
       writes: [{ key: row.key, value: null }],
     });
-    const isEnded = ended.ok && ended.val.status === 'committed';
+    const isEnded = outcome.ok && outcome.val.status === 'committed';
     if (isEnded) {
       this.options.logger.info({ incarnation }, 'expired session ended');
     }
--- a/packages/coordination/src/leases/heldShard.ts
+++ b/packages/coordination/src/leases/heldShard.ts
@@ -9,7 +9,7 @@
 
 import { parseShardRow, shardRowKey } from './leaseRows.js';
 
-/** What a shard that was taken begins with. */
+/** Options of a {@link HeldShard}: its collaborators and the contents of its row when acquired. */
 export interface HeldShardOptions {
   readonly table: TableService;
   readonly timers: TimerService;
@@ -20,13 +20,13 @@
   readonly state: ShardStateReference;
 }
 
-/** Where a held shard is in its life. */
+/** Life-cycle phase of a held shard. */
 export type HeldShardPhase = 'active' | 'dropped' | 'recovering' | 'releasing';
 
-const WRITE_ATTEMPTS = 4;
-const WRITE_PAUSE_MILLISECONDS = 100;
+const MAXIMUM_WRITE_ATTEMPTS = 4;
+const WRITE_RETRY_DELAY_MILLISECONDS = 100;
 
-/** A shard that this instance took, under one epoch. */
+/** A shard that this instance acquired, under one epoch. */
 export class HeldShard implements ShardLease {
   public readonly shard: ShardId;
   public readonly epoch: Epoch;
@@ -41,7 +41,7 @@
     this.currentState = options.state;
   }
 
-  /** Where the state of the shard can be read, as far as the row is known to say. */
+  /** Location of the shard's state according to the last known version of its row. */
   public get state(): ShardStateReference {
     return this.currentState;
   }
@@ -63,15 +63,15 @@
     return await this.write(this.options.session.incarnation, state);
   }
 
-  /** Whether the shard is in a phase; to be asked again after every wait. */
-  public isIn(phase: HeldShardPhase): boolean {
+  /** Whether the shard is in the given phase. Must be checked again after every await. */
+  public isInPhase(phase: HeldShardPhase): boolean {
     return this.phase === phase;
   }
 
   /**
-   * Gives the shard free for the next holder.
+   * Writes the row without a holder, so that another instance can acquire the shard.
    *
-   * @param state where the state stands; `undefined` for where the row says
+   * @param state location of the shard's state; `undefined` keeps the location given in the row
    */
   public async writeRelease(
     state: ShardStateReference | undefined,
@@ -79,14 +79,17 @@
     return await this.write(null, state);
   }
 
-  /** Writes the row once, although answers may be lost after the write has taken effect. */
+  /**
+   * Writes the row at most once. Retries when no answer arrives, since the write may or may not
+   * have taken effect.
+   */
   private async write(
     holder: IncarnationId | null,
     state: ShardStateReference | undefined,
   ): Promise<Result<void, ShardWriteFailure>> {
-    for (let attempt = 0; attempt < WRITE_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_WRITE_ATTEMPTS; attempt++) {
       if (attempt > 0) {
-        await sleep(this.options.timers, WRITE_PAUSE_MILLISECONDS);
+        await sleep(this.options.timers, WRITE_RETRY_DELAY_MILLISECONDS);
       }
       const key = shardRowKey(this.shard);
       const row: ShardRow = { epoch: this.epoch, holder, state: state ?? this.currentState };
@@ -98,24 +101,25 @@
       if (outcome.err) {
         continue;
       }
-      const written = outcome.val.rows[0];
-      if (written === undefined) {
+      const currentRow = outcome.val.rows[0];
+      if (currentRow === undefined) {
         continue;
       }
-      if (outcome.val.status === 'conflict' && !this.isOwn(written)) {
+      if (outcome.val.status === 'conflict' && !this.hasOwnEpoch(currentRow)) {
         return Err('lost');
       }
-      // Only this lease writes rows of its epoch: a conflict shows an earlier write of its own.
-      this.rowVersion = written.version;
-      this.currentState = parseShardRow(written).state;
-      if (written.value === value) {
+      // Only this lease writes rows of its epoch, so a conflict means that one of its own earlier
+      // writes took effect.
+      this.rowVersion = currentRow.version;
+      this.currentState = parseShardRow(currentRow).state;
+      if (currentRow.value === value) {
         return Ok(undefined);
       }
     }
     return Err('unknown');
   }
 
-  private isOwn(row: Row): boolean {
+  private hasOwnEpoch(row: Row): boolean {
     return row.version > 0 && parseShardRow(row).epoch === this.epoch;
   }
 }
--- a/packages/coordination/src/leases/leaseRows.ts
+++ b/packages/coordination/src/leases/leaseRows.ts
@@ -1,9 +1,9 @@
 import type { Epoch, IncarnationId, ShardId } from '@zincring/core';
 import type { Row } from '@zincring/platform';
 
-/** Where the state of a shard can be read: a snapshot and the log that follows it. */
+/** Location of a shard's state: a snapshot and the log that continues it. */
 export interface ShardStateReference {
-  /** Name of the snapshot object; `null` when the shard begins empty. */
+  /** Name of the snapshot object; `null` when the shard starts empty. */
   readonly snapshot: string | null;
   /** The log that continues the snapshot; `null` when none does. */
   readonly log: LogReference | null;
@@ -15,7 +15,7 @@
   readonly incarnation: IncarnationId;
   /** First sequence number to replay. */
   readonly from: number;
-  /** Only records of this epoch count: others were written under a lease that had been lost. */
+  /** Only records of this epoch are replayed; others were written after their lease was lost. */
   readonly epoch: Epoch;
 }
 
@@ -30,31 +30,31 @@
 /** The row of an incarnation's session. Its version grows with every renewal. */
 export interface SessionRow {
   readonly instance: string;
-  /** Peer address, by which others find the holder of a shard. */
+  /** Peer address at which other instances reach the holder of a shard. */
   readonly address: string;
   /** Number of the renewal; makes the value of every renewal unique. */
   readonly renewal: number;
 }
 
-/** The state of a shard that nobody has held. */
+/** State of a shard that has never been held. */
 export const emptyShardState: ShardStateReference = { log: null, snapshot: null };
 
-const SHARD_DIGITS = 5;
+const SHARD_KEY_DIGITS = 5;
 
 /** Key of the row of a shard. */
 export function shardRowKey(shard: ShardId): string {
-  return `shard/${String(shard).padStart(SHARD_DIGITS, '0')}`;
+  return `shard/${String(shard).padStart(SHARD_KEY_DIGITS, '0')}`;
 }
 
 /** Prefix of the rows of all sessions. */
-export const SESSION_ROOT = 'session/';
+export const SESSION_KEY_PREFIX = 'session/';
 
 /** Key of the row of a session. */
 export function sessionRowKey(incarnation: IncarnationId): string {
-  return `${SESSION_ROOT}${incarnation}`;
+  return `${SESSION_KEY_PREFIX}${incarnation}`;
 }
 
-/** Reads the row of a shard; an absent row stands for a shard that nobody has held. */
+/** Parses the row of a shard. An absent row represents a shard that has never been held. */
 export function parseShardRow(row: Row): ShardRow {
   return row.version === 0
     ? { epoch: 0 as Epoch, holder: null, state: emptyShardState }
--- a/packages/coordination/src/leases/session.ts
+++ b/packages/coordination/src/leases/session.ts
@@ -5,20 +5,20 @@
 
 import { sessionRowKey } from './leaseRows.js';
 
-/** Terms of a lease, in milliseconds of monotonic time. */
+/** Durations that govern a lease, in milliseconds of monotonic time. */
 export interface LeaseTerms {
-  /** How long a renewal holds. */
+  /** Time for which a renewal keeps the lease valid. */
   readonly termMilliseconds: number;
-  /** How much earlier the holder stops, against drift between clocks. */
+  /** Time before the end of the term at which the holder stops, to allow for clock drift. */
   readonly marginMilliseconds: number;
-  /** Time between renewals. */
+  /** Interval between renewals. */
   readonly renewMilliseconds: number;
 }
 
-/** How a renewal ended. */
+/** Outcome of a renewal. */
 export type RenewalOutcome = 'lost' | 'renewed' | 'unknown';
 
-/** What a session needs. */
+/** Options of a {@link Session}. */
 export interface SessionOptions {
   readonly table: TableService;
   readonly timers: TimerService;
@@ -28,60 +28,61 @@
   readonly address: string;
 }
 
-const END_ATTEMPTS = 3;
+const MAXIMUM_END_ATTEMPTS = 3;
 
 /**
- * The lease of one incarnation: one row, one write a renewal, however many shards it holds.
- * The holder counts its term on its monotonic clock from before it sent the renewal.
+ * The lease of one incarnation: a single row, renewed by one write regardless of how many shards
+ * the incarnation holds. The holder measures its term on its monotonic clock from before it sent
+ * the renewal.
  */
 export class Session {
   public readonly incarnation: IncarnationId;
   private rowVersion = 0;
-  private renewal = 0;
+  private renewalNumber = 0;
   private validUntil = Number.NEGATIVE_INFINITY;
   private hasEnded = false;
-  /** Values of renewals whose outcome is unknown, with the time before each was sent. */
-  private readonly unsettled = new Map<string, number>();
+  /** Row values of renewals whose outcome is unknown, with the time before each was sent. */
+  private readonly unresolvedRenewals = new Map<string, number>();
 
   public constructor(private readonly options: SessionOptions) {
     this.incarnation = options.incarnation;
   }
 
-  /** Whether the term is running. To be asked again after every wait. */
+  /** Whether the term is still running. Must be checked again after every await. */
   public get isValid(): boolean {
     return this.options.timers.now() < this.validUntil;
   }
 
-  /** Milliseconds left of the term. */
+  /** Remaining time of the term, in milliseconds. */
   public get remainingMilliseconds(): number {
     return Math.max(0, this.validUntil - this.options.timers.now());
   }
 
-  /** A check that makes a transaction fail once the session has been ended by another. */
+  /** Check that makes a transaction fail once another instance has ended the session. */
   public get check(): RowCheck {
     return { key: sessionRowKey(this.incarnation), version: this.rowVersion };
   }
 
-  /** Renews the session, or opens it the first time. Not to be called again before it returned. */
+  /** Renews the session; the first call creates it. Calls must not overlap. */
   public async renew(): Promise<RenewalOutcome> {
     if (this.hasEnded) {
       return 'lost';
     }
-    if (this.unsettled.size > 0) {
-      const settled = await this.settle();
-      if (settled !== 'renewed') {
-        return settled;
+    if (this.unresolvedRenewals.size > 0) {
+      const resolved = await this.resolveRenewals();
+      if (resolved !== 'renewed') {
+        return resolved;
       }
     }
     const sentAt = this.options.timers.now();
-    const value = this.nextValue();
+    const value = this.nextRowValue();
     const outcome = await this.options.table.transact({
       checks: [this.check],
       writes: [{ key: this.check.key, value }],
     });
     if (outcome.err) {
       if (outcome.val.failure === 'outcome-unknown') {
-        this.unsettled.set(value, sentAt);
+        this.unresolvedRenewals.set(value, sentAt);
       }
       return 'unknown';
     }
@@ -90,18 +91,18 @@
       return 'unknown';
     }
     if (outcome.val.status === 'conflict') {
-      return this.adopt(row);
+      return this.applyUnresolvedRenewal(row);
     }
-    this.unsettled.clear();
-    this.accept(row.version, sentAt);
+    this.unresolvedRenewals.clear();
+    this.applyRenewal(row.version, sentAt);
     return 'renewed';
   }
 
-  /** Ends the session, so that others need not wait for its term. */
+  /** Ends the session, so that other instances need not wait for its term to expire. */
   public async end(): Promise<void> {
     this.hasEnded = true;
     this.validUntil = Number.NEGATIVE_INFINITY;
-    for (let attempt = 0; attempt < END_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_END_ATTEMPTS; attempt++) {
       const outcome = await this.options.table.transact({
         checks: [this.check],
         writes: [{ key: this.check.key, value: null }],
@@ -113,12 +114,12 @@
       if (row.version === 0) {
         return;
       }
-      // A renewal without an answer moved the row.
+      // An unanswered renewal took effect and changed the version of the row.
       this.rowVersion = row.version;
     }
   }
 
-  private accept(rowVersion: number, sentAt: number): void {
+  private applyRenewal(rowVersion: number, sentAt: number): void {
     if (this.hasEnded) {
       return;
     }
@@ -127,34 +128,34 @@
     this.validUntil = Math.max(this.validUntil, sentAt + termMilliseconds - marginMilliseconds);
   }
 
-  /** Learns from the row which of the renewals without an answer took effect. */
-  private async settle(): Promise<RenewalOutcome> {
+  /** Determines from the row which of the unanswered renewals took effect. */
+  private async resolveRenewals(): Promise<RenewalOutcome> {
     const read = await this.options.table.read([this.check.key]);
     const row = read.ok ? read.val[0] : undefined;
     if (row === undefined) {
       return 'unknown';
     }
-    // While the version stands, the unanswered renewals may still arrive: they stay unsettled.
-    return row.version === this.rowVersion ? 'renewed' : this.adopt(row);
+    // While the version is unchanged, the unanswered renewals may still arrive, so they are kept.
+    return row.version === this.rowVersion ? 'renewed' : this.applyUnresolvedRenewal(row);
   }
 
-  /** Takes over a row that an unanswered renewal of this session wrote. */
-  private adopt(row: Row): RenewalOutcome {
-    const sentAt = this.unsettled.get(row.value);
+  /** Applies a row that an unanswered renewal of this session wrote; any other row means a loss. */
+  private applyUnresolvedRenewal(row: Row): RenewalOutcome {
+    const sentAt = this.unresolvedRenewals.get(row.value);
     if (sentAt === undefined) {
       return 'lost';
     }
-    this.unsettled.clear();
-    this.accept(row.version, sentAt);
+    this.unresolvedRenewals.clear();
+    this.applyRenewal(row.version, sentAt);
     return 'renewed';
   }
 
-  private nextValue(): string {
-    this.renewal++;
+  private nextRowValue(): string {
+    this.renewalNumber++;
     const row: SessionRow = {
       address: this.options.address,
       instance: this.options.instance,
-      renewal: this.renewal,
+      renewal: this.renewalNumber,
     };
     return JSON.stringify(row);
   }
--- a/packages/coordination/src/leases/sessionObserver.ts
+++ b/packages/coordination/src/leases/sessionObserver.ts
@@ -3,13 +3,13 @@
 
 interface Observation {
   readonly version: number;
-  /** When the first read that showed the version had been answered. */
-  readonly since: number;
+  /** Monotonic time at which the first read that returned the version had been answered. */
+  readonly firstSeenAt: number;
 }
 
 /**
- * Watches the sessions of others. A session has expired for an observer once it has seen its row
- * unchanged for a whole term on its own monotonic clock, by reads that were answered.
+ * Detects expired sessions of other incarnations. A session counts as expired once successful
+ * reads have shown its row unchanged for a full term on the observer's own monotonic clock.
  */
 export class SessionObserver {
   private readonly observations = new Map<IncarnationId, Observation>();
@@ -20,7 +20,7 @@
   ) {}
 
   /**
-   * Notes a row that was read.
+   * Records a row that was read.
    *
    * @param readStartedAt monotonic time before the read was sent
    * @returns whether the session has expired at this version
@@ -30,15 +30,15 @@
       this.observations.delete(incarnation);
       return true;
     }
-    const earlier = this.observations.get(incarnation);
-    if (earlier?.version !== row.version) {
-      this.observations.set(incarnation, { since: this.timers.now(), version: row.version });
+    const previous = this.observations.get(incarnation);
+    if (previous?.version !== row.version) {
+      this.observations.set(incarnation, { firstSeenAt: this.timers.now(), version: row.version });
       return false;
     }
-    return readStartedAt >= earlier.since + this.termMilliseconds;
+    return readStartedAt >= previous.firstSeenAt + this.termMilliseconds;
   }
 
-  /** Forgets sessions that are no longer of interest, so that the state stays bounded. */
+  /** Forgets all sessions except those of the given incarnations, to bound the memory used. */
   public retain(incarnations: ReadonlySet<IncarnationId>): void {
     for (const incarnation of this.observations.keys()) {
       if (!incarnations.has(incarnation)) {
--- a/packages/coordination/src/leases/shardLease.ts
+++ b/packages/coordination/src/leases/shardLease.ts
@@ -3,43 +3,44 @@
 import type { ShardStateReference } from './leaseRows.js';
 
 /**
- * How an instance stands to a shard: `held` by a running lease; `releasing`, held while what runs
- * is finished for the next holder; `lapsed`, held until the term ran out and not known to be taken
- * by another; `recovering`, taken but not yet replayed; `none`.
+ * Status of an instance's lease on a shard: `held` under a valid lease; `releasing`, still held
+ * while running work is finished for the next holder; `lapsed`, held until the term ran out and
+ * not known to be acquired by another instance; `recovering`, acquired but not yet replayed;
+ * `none`, not held.
  */
 export type ShardStanding = 'held' | 'lapsed' | 'none' | 'recovering' | 'releasing';
 
-/** How a write of a shard's row failed: another holder has it, or it is not known what happened. */
+/** Reason for a failed write of a shard's row: acquired by another holder, or outcome unknown. */
 export type ShardWriteFailure = 'lost' | 'unknown';
 
 /**
- * The lease of one shard under one epoch. A shard that is taken anew gets a new lease, so that
- * work begun under an earlier epoch never passes for work of the present one.
+ * The lease of one shard under one epoch. A shard that is acquired again gets a new lease, so that
+ * work started under an earlier epoch is never mistaken for work of the current one.
  */
 export interface ShardLease {
   readonly shard: ShardId;
-  /** The fencing number under which the shard is held. */
+  /** Fencing token under which the shard is held. */
   readonly epoch: Epoch;
-  /** To be asked again after every wait; once `none`, it stays so. */
+  /** Status of the lease. Must be checked again after every await; `none` is final. */
   readonly standing: ShardStanding;
-  /** Records where the state of the shard can be read from now on. */
+  /** Writes the new location of the shard's state to its row. */
   commitState(state: ShardStateReference): Promise<Result<void, ShardWriteFailure>>;
 }
 
-/** What the owner of the leases does when shards come and go. */
+/** Callbacks of the component that owns the state of shards, for acquired and released shards. */
 export interface ShardOwner {
   /**
-   * Restores the state of a shard that was taken. It is asked again when it fails.
+   * Restores the state of an acquired shard. Called again after a failure.
    *
-   * @returns where the state stands from now on
+   * @returns the location of the state from now on
    */
   recover(lease: ShardLease, state: ShardStateReference): Promise<ShardStateReference>;
   /**
    * Finishes the running work of a shard before it is released.
    *
-   * @returns where the state stands for the next holder
+   * @returns the location of the state for the next holder
    */
   handOver(lease: ShardLease): Promise<ShardStateReference>;
-  /** Drops a shard that another holder has, or may have, taken. */
+  /** Discards the local state of a shard that another holder has, or may have, acquired. */
   drop(lease: ShardLease): void;
 }
--- a/packages/coordination/src/leases/shardLeases.ts
+++ b/packages/coordination/src/leases/shardLeases.ts
@@ -8,18 +8,18 @@
 import type { ShardOwner, ShardStanding } from './shardLease.js';
 
 import { preferredHolder } from '../shards/shardMap.js';
-import { ExpiredSessions } from './expiredSessions.js';
+import { ExpiredSessionReaper } from './expiredSessionReaper.js';
 import { HeldShard } from './heldShard.js';
-import { parseShardRow, SESSION_ROOT, shardRowKey } from './leaseRows.js';
+import { parseShardRow, SESSION_KEY_PREFIX, shardRowKey } from './leaseRows.js';
 import { Session } from './session.js';
 
-/** Who takes part: instances that should hold shards. */
+/** Source of the instances among which the shards are distributed. */
 export interface ShardMembers {
-  /** Names of the instances that are alive and not leaving, oneself included while not leaving. */
+  /** Names of the instances that are alive and not leaving; includes this one until it leaves. */
   eligible(): ReadonlySet<string>;
 }
 
-/** What shard leases need. */
+/** Options of {@link ShardLeases}. */
 export interface ShardLeasesOptions {
   readonly table: TableService;
   readonly timers: TimerService;
@@ -30,68 +30,68 @@
   readonly address: string;
   readonly members: ShardMembers;
   readonly owner: ShardOwner;
-  /** Makes the name of a new incarnation. */
+  /** Creates the identifier of a new incarnation. */
   readonly createIncarnation: () => IncarnationId;
 }
 
-/** A row of a shard with its version. */
-interface ReadShard {
+/** Row of a shard as it was read, with its version. */
+interface VersionedShardRow {
   readonly shard: ShardId;
   readonly row: ShardRow;
   readonly rowVersion: number;
 }
 
-/** Most shards that are taken in one transaction. */
-const SHARDS_PER_TRANSACTION = 32;
+const MAXIMUM_SHARDS_PER_TRANSACTION = 32;
 const SESSIONS_PER_PAGE = 200;
-/** Pause before a failed recovery or release is tried again. */
-const RETRY_PAUSE_MILLISECONDS = 500;
+/** Delay before a failed recovery or release is retried. */
+const RETRY_DELAY_MILLISECONDS = 500;
 
 /**
- * Leases on shards: rendezvous hashing says who should try, the compare-and-set of the row says
- * who does. Call {@link ShardLeases.tick} every renewal interval.
+ * Acquires, renews and releases the leases of shards. Rendezvous hashing determines which instance
+ * should acquire a shard; the compare-and-set of the shard's row decides which instance does. Call
+ * {@link ShardLeases.tick} once every renewal interval.
  */
 export class ShardLeases {
   private session: Session;
-  private readonly expiredSessions: ExpiredSessions;
-  private readonly abandonedSessions: ExpiredSessions;
-  private readonly held = new Map<ShardId, HeldShard>();
+  private readonly holderSessionReaper: ExpiredSessionReaper;
+  private readonly abandonedSessionReaper: ExpiredSessionReaper;
+  private readonly heldByShard = new Map<ShardId, HeldShard>();
   /**
-   * Shards whose taking had no answer, with the version of the row that it expected: the row may
-   * name this instance although it does not act for the shard.
+   * Shards whose acquisition was not answered, with the row version that it expected. The row may
+   * name this instance as the holder although the instance does not serve the shard.
    */
-  private readonly unsettledTakes = new Map<ShardId, number>();
-  private readonly releases = new Map<HeldShard, Promise<void>>();
+  private readonly unresolvedAcquisitions = new Map<ShardId, number>();
+  private readonly releasesInProgress = new Map<HeldShard, Promise<void>>();
   private isTicking = false;
   private isDraining = false;
   private isRebalancing = false;
   private isStopping = false;
 
   public constructor(private readonly options: ShardLeasesOptions) {
-    this.session = this.openSession();
+    this.session = this.createSession();
     const { termMilliseconds } = options.terms;
-    this.expiredSessions = new ExpiredSessions({ ...options, termMilliseconds });
-    this.abandonedSessions = new ExpiredSessions({ ...options, termMilliseconds });
+    this.holderSessionReaper = new ExpiredSessionReaper({ ...options, termMilliseconds });
+    this.abandonedSessionReaper = new ExpiredSessionReaper({ ...options, termMilliseconds });
   }
 
-  /** The running incarnation; a new one begins when the session was lost. */
+  /** Current incarnation; replaced by a new one when the session is lost. */
   public get incarnation(): IncarnationId {
     return this.session.incarnation;
   }
 
-  /** Shards held or lapsed, in no order. */
+  /** Shards that were acquired and not dropped since, in no particular order. */
   public get heldShards(): readonly ShardId[] {
-    return [...this.held.keys()];
+    return [...this.heldByShard.keys()];
   }
 
-  /** How this instance stands to a shard. To be asked again after every wait. */
+  /** Status of this instance's lease on a shard. Must be checked again after every await. */
   public standing(shard: ShardId): ShardStanding {
-    return this.held.get(shard)?.standing ?? 'none';
+    return this.heldByShard.get(shard)?.standing ?? 'none';
   }
 
-  /** Renews the session, gives up what others should hold and takes what this one should. */
+  /** Renews the session, then releases and acquires shards according to the eligible instances. */
   public async tick(): Promise<void> {
-    // A second renewal beside one that waits for its answer would fail the check of the row.
+    // A second renewal sent while one is unanswered would fail its check of the row version.
     if (this.isTicking || this.isStopping) {
       return;
     }
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Ends the sessions of incarnations that are gone, also of those that held no shard, so that
-   * their rows do not add up. To be called now and then, at intervals longer than a term.
+   * Ends the expired sessions of other incarnations, including those that held no shard, so that
+   * their rows do not accumulate. Call it periodically, at intervals longer than a term.
    */
   public async endAbandonedSessions(): Promise<void> {
     const incarnations = new Set<IncarnationId>();
@@ -113,22 +113,22 @@
     do {
       const page = await this.options.table.scan({
         limit: SESSIONS_PER_PAGE,
-        prefix: SESSION_ROOT,
+        prefix: SESSION_KEY_PREFIX,
         ...(after === undefined ? {} : { after }),
       });
       if (page.err) {
         return;
       }
       for (const { key } of page.val.rows) {
-        incarnations.add(key.slice(SESSION_ROOT.length) as IncarnationId);
+        incarnations.add(key.slice(SESSION_KEY_PREFIX.length) as IncarnationId);
       }
       after = page.val.next;
     } while (after !== undefined);
     incarnations.delete(this.incarnation);
-    await this.abandonedSessions.find(incarnations);
+    await this.abandonedSessionReaper.endExpired(incarnations);
   }
 
-  /** Hands over every shard and ends the session. Renewals go on until then. */
+  /** Hands over every shard, renewing the session meanwhile, and then ends the session. */
   public async stop(): Promise<void> {
     const renewals = this.options.timers.every(this.options.terms.renewMilliseconds, () => {
       this.tick().catch((failure: unknown) => {
@@ -136,18 +136,20 @@
       });
     });
     this.isDraining = true;
-    await Promise.all([...this.held.values()].map(async held => this.release(held)));
+    await Promise.all(
+      [...this.heldByShard.values()].map(async heldShard => this.release(heldShard)),
+    );
     this.isStopping = true;
     renewals.stop();
     await this.session.end();
-    this.startOver();
+    this.replaceSession();
   }
 
   private async renew(): Promise<void> {
     const { session } = this;
     switch (await session.renew()) {
       case 'lost':
-        this.startOver();
+        this.replaceSession();
         return;
       case 'renewed':
         this.startRebalancing();
@@ -157,7 +159,7 @@
     }
   }
 
-  /** Rebalances beside the renewals, which must not wait for it. */
+  /** Rebalances concurrently with the renewals, which must not wait for it. */
   private startRebalancing(): void {
     if (this.isRebalancing || this.isDraining) {
       return;
@@ -174,247 +176,257 @@
 
   private async rebalance(): Promise<void> {
     const eligible = this.options.members.eligible();
-    for (const held of this.held.values()) {
-      const isForeign = preferredHolder(held.shard, eligible) !== this.options.instance;
-      if (isForeign && held.phase === 'active') {
-        void this.release(held);
+    for (const heldShard of this.heldByShard.values()) {
+      const isPreferredElsewhere =
+        preferredHolder(heldShard.shard, eligible) !== this.options.instance;
+      if (isPreferredElsewhere && heldShard.phase === 'active') {
+        void this.release(heldShard);
       }
     }
-    await this.takeOwn(eligible);
+    await this.acquireWantedShards(eligible);
   }
 
-  private openSession(): Session {
+  private createSession(): Session {
     return new Session({ ...this.options, incarnation: this.options.createIncarnation() });
   }
 
-  private isCurrent(session: Session): boolean {
+  private isCurrentSession(session: Session): boolean {
     return session === this.session && !this.isStopping;
   }
 
-  private startOver(): void {
+  private replaceSession(): void {
     if (!this.isStopping) {
       this.options.logger.warn({ incarnation: this.session.incarnation }, 'session lost');
     }
-    for (const held of [...this.held.values()]) {
-      this.drop(held);
+    for (const heldShard of [...this.heldByShard.values()]) {
+      this.drop(heldShard);
     }
-    this.unsettledTakes.clear();
-    this.session = this.openSession();
+    this.unresolvedAcquisitions.clear();
+    this.session = this.createSession();
   }
 
-  private drop(held: HeldShard): void {
-    if (held.phase === 'dropped') {
+  private drop(heldShard: HeldShard): void {
+    if (heldShard.phase === 'dropped') {
       return;
     }
-    held.phase = 'dropped';
-    if (this.held.get(held.shard) === held) {
-      this.held.delete(held.shard);
+    heldShard.phase = 'dropped';
+    if (this.heldByShard.get(heldShard.shard) === heldShard) {
+      this.heldByShard.delete(heldShard.shard);
     }
-    this.options.owner.drop(held);
+    this.options.owner.drop(heldShard);
   }
 
-  private async release(held: HeldShard): Promise<void> {
-    if (held.phase === 'recovering') {
-      // The row stands for the whole state: whoever finds the session ended takes it from there.
-      this.drop(held);
+  private async release(heldShard: HeldShard): Promise<void> {
+    if (heldShard.phase === 'recovering') {
+      // The row still refers to the complete state: the next holder recovers from there once the
+      // session has ended.
+      this.drop(heldShard);
       return;
     }
-    const running = this.releases.get(held);
-    if (running !== undefined) {
-      await running;
+    const releaseInProgress = this.releasesInProgress.get(heldShard);
+    if (releaseInProgress !== undefined) {
+      await releaseInProgress;
       return;
     }
-    held.phase = 'releasing';
-    const release = this.finishRelease(held).finally(() => {
-      this.releases.delete(held);
+    heldShard.phase = 'releasing';
+    const release = this.handOverAndRelease(heldShard).finally(() => {
+      this.releasesInProgress.delete(heldShard);
     });
-    this.releases.set(held, release);
+    this.releasesInProgress.set(heldShard, release);
     await release;
   }
 
-  /** Tries until the row is written: while it names this live session, nobody may take it. */
-  private async finishRelease(held: HeldShard): Promise<void> {
-    const state = await this.handOver(held);
-    while (held.standing !== 'none') {
-      const written = await held.writeRelease(state);
-      // At a planned stop the session ends by itself: then a later holder need not wait for more.
-      const isGivenUp = this.isDraining && held.standing === 'lapsed';
-      if (written.ok || written.val === 'lost' || isGivenUp) {
-        this.drop(held);
+  /** Retries until the row is written, as no one else can acquire it while this session is live. */
+  private async handOverAndRelease(heldShard: HeldShard): Promise<void> {
+    const state = await this.tryHandOver(heldShard);
+    while (heldShard.standing !== 'none') {
+      const written = await heldShard.writeRelease(state);
+      // A planned stop ends the session in any case, so the next holder does not depend on the row.
+      const isLeftToExpiry = this.isDraining && heldShard.standing === 'lapsed';
+      if (written.ok || written.val === 'lost' || isLeftToExpiry) {
+        this.drop(heldShard);
         return;
       }
-      await sleep(this.options.timers, RETRY_PAUSE_MILLISECONDS);
+      await sleep(this.options.timers, RETRY_DELAY_MILLISECONDS);
     }
   }
 
-  /** `undefined` when the state stays where the row says that it is. */
-  private async handOver(held: HeldShard): Promise<ShardStateReference | undefined> {
+  /** Returns `undefined` on failure: the location of the state in the row then stays valid. */
+  private async tryHandOver(heldShard: HeldShard): Promise<ShardStateReference | undefined> {
     try {
-      return await this.options.owner.handOver(held);
+      return await this.options.owner.handOver(heldShard);
     } catch (failure) {
-      const fields = { failure: failureText(failure), shard: held.shard };
-      this.options.logger.warn(fields, 'shard handed over without a new snapshot');
+      const fields = { failure: failureText(failure), shard: heldShard.shard };
+      this.options.logger.warn(
+        fields,
+        'handover failed; releasing the shard without a new snapshot',
+      );
       return undefined;
     }
   }
 
-  private async takeOwn(eligible: ReadonlySet<string>): Promise<void> {
-    const wanted: ShardId[] = [];
-    for (let number = 0; number < this.options.shardCount; number++) {
-      const shard = number as ShardId;
+  private async acquireWantedShards(eligible: ReadonlySet<string>): Promise<void> {
+    const wantedShards: ShardId[] = [];
+    for (let shardNumber = 0; shardNumber < this.options.shardCount; shardNumber++) {
+      const shard = shardNumber as ShardId;
       const isWanted =
-        this.unsettledTakes.has(shard) ||
+        this.unresolvedAcquisitions.has(shard) ||
         preferredHolder(shard, eligible) === this.options.instance;
-      if (isWanted && !this.held.has(shard)) {
-        wanted.push(shard);
+      if (isWanted && !this.heldByShard.has(shard)) {
+        wantedShards.push(shard);
       }
     }
-    if (wanted.length === 0) {
+    if (wantedShards.length === 0) {
       return;
     }
-    const free = await this.findFree(wanted, eligible);
-    for (let start = 0; start < free.length; start += SHARDS_PER_TRANSACTION) {
-      await this.take(free.slice(start, start + SHARDS_PER_TRANSACTION));
+    const acquirable = await this.findAcquirable(wantedShards, eligible);
+    for (let start = 0; start < acquirable.length; start += MAXIMUM_SHARDS_PER_TRANSACTION) {
+      await this.acquire(acquirable.slice(start, start + MAXIMUM_SHARDS_PER_TRANSACTION));
     }
   }
 
-  /** Those of the wanted shards that nobody holds, or whose holder's session has ended. */
-  private async findFree(
-    wanted: readonly ShardId[],
+  /** Finds the wanted shards without another holder, or whose holder's session has ended. */
+  private async findAcquirable(
+    wantedShards: readonly ShardId[],
     eligible: ReadonlySet<string>,
-  ): Promise<readonly ReadShard[]> {
-    const read = await this.options.table.read(wanted.map(shardRowKey));
+  ): Promise<readonly VersionedShardRow[]> {
+    const read = await this.options.table.read(wantedShards.map(shardRowKey));
     if (read.err) {
       return [];
     }
-    const shards = read.val.map(row => ({
+    const readRows = read.val.map(row => ({
       row: parseShardRow(row),
       rowVersion: row.version,
       shard: Number(row.key.slice(row.key.indexOf('/') + 1)) as ShardId,
     }));
-    const candidates = shards.filter(each => this.isCandidate(each, eligible));
+    const candidates = readRows.filter(candidate => this.isCandidate(candidate, eligible));
     const holders = new Set(
       candidates
-        .map(each => each.row.holder)
+        .map(candidate => candidate.row.holder)
         .filter((holder): holder is IncarnationId => holder !== null)
         .filter(holder => holder !== this.incarnation),
     );
-    const ended = await this.expiredSessions.find(holders);
+    const endedHolders = await this.holderSessionReaper.endExpired(holders);
     return candidates.filter(
-      ({ row }) => row.holder === null || row.holder === this.incarnation || ended.has(row.holder),
+      ({ row }) =>
+        row.holder === null || row.holder === this.incarnation || endedHolders.has(row.holder),
     );
   }
 
-  private isCandidate(read: ReadShard, eligible: ReadonlySet<string>): boolean {
-    const expectedVersion = this.unsettledTakes.get(read.shard);
-    const isOwn = read.row.holder === this.incarnation;
-    if (!isOwn && expectedVersion !== undefined && read.rowVersion !== expectedVersion) {
-      // The row has moved on: the taking without an answer can no longer take effect.
-      this.unsettledTakes.delete(read.shard);
+  private isCandidate(candidate: VersionedShardRow, eligible: ReadonlySet<string>): boolean {
+    const expectedVersion = this.unresolvedAcquisitions.get(candidate.shard);
+    const isOwn = candidate.row.holder === this.incarnation;
+    if (!isOwn && expectedVersion !== undefined && candidate.rowVersion !== expectedVersion) {
+      // The row has a new version, so the unanswered acquisition can no longer take effect.
+      this.unresolvedAcquisitions.delete(candidate.shard);
     }
-    return isOwn || preferredHolder(read.shard, eligible) === this.options.instance;
+    return isOwn || preferredHolder(candidate.shard, eligible) === this.options.instance;
   }
 
-  private async take(shards: readonly ReadShard[]): Promise<void> {
+  private async acquire(candidates: readonly VersionedShardRow[]): Promise<void> {
     const { session } = this;
-    if (!this.isCurrent(session) || !session.isValid) {
+    if (!this.isCurrentSession(session) || !session.isValid) {
       return;
     }
-    const rows = shards.map(each => ({
-      ...each.row,
-      epoch: (each.row.epoch + 1) as Epoch,
+    const rows = candidates.map(candidate => ({
+      ...candidate.row,
+      epoch: (candidate.row.epoch + 1) as Epoch,
       holder: session.incarnation,
     }));
-    const earlier = new Set(this.unsettledTakes.keys());
-    for (const each of shards) {
-      this.unsettledTakes.set(each.shard, each.rowVersion);
+    const previouslyUnresolved = new Set(this.unresolvedAcquisitions.keys());
+    for (const candidate of candidates) {
+      this.unresolvedAcquisitions.set(candidate.shard, candidate.rowVersion);
     }
     const outcome = await this.options.table.transact({
       checks: [
         session.check,
-        ...shards.map(each => ({ key: shardRowKey(each.shard), version: each.rowVersion })),
+        ...candidates.map(candidate => ({
+          key: shardRowKey(candidate.shard),
+          version: candidate.rowVersion,
+        })),
       ],
-      writes: shards.map((each, index) => ({
-        key: shardRowKey(each.shard),
+      writes: candidates.map((candidate, index) => ({
+        key: shardRowKey(candidate.shard),
         value: JSON.stringify(rows[index]),
       })),
     });
-    if (outcome.err || !this.isCurrent(session)) {
+    if (outcome.err || !this.isCurrentSession(session)) {
       return;
     }
-    const isTaken = outcome.val.status === 'committed';
-    for (const each of shards) {
-      // A conflict may come from an earlier taking without an answer, which named this instance.
-      if (isTaken || !earlier.has(each.shard)) {
-        this.unsettledTakes.delete(each.shard);
+    const isCommitted = outcome.val.status === 'committed';
+    for (const candidate of candidates) {
+      // A conflict may be due to an earlier, unanswered acquisition that named this instance.
+      if (isCommitted || !previouslyUnresolved.has(candidate.shard)) {
+        this.unresolvedAcquisitions.delete(candidate.shard);
       }
     }
-    if (!isTaken) {
+    if (!isCommitted) {
       return;
     }
-    for (const [index, each] of shards.entries()) {
+    for (const [index, candidate] of candidates.entries()) {
       const rowVersion = outcome.val.rows[index]?.version ?? 0;
-      this.startHolding(session, each, rowVersion);
+      this.addHeldShard(session, candidate, rowVersion);
     }
   }
 
-  private startHolding(session: Session, read: ReadShard, rowVersion: number): void {
-    const held = new HeldShard({
-      epoch: (read.row.epoch + 1) as Epoch,
+  private addHeldShard(session: Session, candidate: VersionedShardRow, rowVersion: number): void {
+    const heldShard = new HeldShard({
+      epoch: (candidate.row.epoch + 1) as Epoch,
       rowVersion,
       session,
-      shard: read.shard,
-      state: read.row.state,
+      shard: candidate.shard,
+      state: candidate.row.state,
       table: this.options.table,
       timers: this.options.timers,
     });
-    this.held.set(read.shard, held);
-    void this.recover(held);
+    this.heldByShard.set(candidate.shard, heldShard);
+    void this.recover(heldShard);
   }
 
-  /** Tries until the shard is recovered or lost. */
-  private async recover(held: HeldShard): Promise<void> {
+  /** Retries until the shard is recovered or lost. */
+  private async recover(heldShard: HeldShard): Promise<void> {
     let state: ShardStateReference | undefined;
-    while (held.isIn('recovering')) {
-      // Once recovered, only the row is written again: it may have been written already, and then
-      // what it named before may be deleted at any time.
-      state ??= await this.tryRecovery(held);
-      if (state !== undefined && (await this.activate(held, state))) {
+    while (heldShard.isInPhase('recovering')) {
+      // After a successful recovery only the write of the row is retried: an earlier attempt may
+      // have taken effect, and the objects that the row referred to before may then be deleted at
+      // any time.
+      state ??= await this.tryRecovery(heldShard);
+      if (state !== undefined && (await this.activate(heldShard, state))) {
         return;
       }
-      await sleep(this.options.timers, RETRY_PAUSE_MILLISECONDS);
+      await sleep(this.options.timers, RETRY_DELAY_MILLISECONDS);
     }
   }
 
-  private async tryRecovery(held: HeldShard): Promise<ShardStateReference | undefined> {
+  private async tryRecovery(heldShard: HeldShard): Promise<ShardStateReference | undefined> {
     try {
-      return await this.options.owner.recover(held, held.state);
+      return await this.options.owner.recover(heldShard, heldShard.state);
     } catch (failure) {
-      const fields = { failure: failureText(failure), shard: held.shard };
-      this.options.logger.warn(fields, 'recovery failed');
+      const fields = { failure: failureText(failure), shard: heldShard.shard };
+      this.options.logger.warn(fields, 'shard recovery failed');
       return undefined;
     } finally {
-      if (!held.isIn('recovering')) {
-        this.options.owner.drop(held);
+      if (!heldShard.isInPhase('recovering')) {
+        this.options.owner.drop(heldShard);
       }
     }
   }
 
-  /** Returns whether no more is to be done: the shard is active or lost. */
-  private async activate(held: HeldShard, state: ShardStateReference): Promise<boolean> {
-    if (!held.isIn('recovering')) {
+  /** Writes the recovered state to the row. Returns whether the shard is now active or lost. */
+  private async activate(heldShard: HeldShard, state: ShardStateReference): Promise<boolean> {
+    if (!heldShard.isInPhase('recovering')) {
       return true;
     }
-    const written = await held.commitState(state);
-    if (!held.isIn('recovering')) {
+    const written = await heldShard.commitState(state);
+    if (!heldShard.isInPhase('recovering')) {
       return true;
     }
     if (written.ok) {
-      held.phase = 'active';
+      heldShard.phase = 'active';
       return true;
     }
     if (written.val === 'lost') {
-      this.drop(held);
+      this.drop(heldShard);
       return true;
     }
     return false;
--- a/packages/coordination/tests/leases/leaseCluster.ts
+++ b/packages/coordination/tests/leases/leaseCluster.ts
@@ -11,27 +11,27 @@
 export const terms = { marginMilliseconds: 500, renewMilliseconds: 1_000, termMilliseconds: 5_000 };
 export const SHARD_COUNT = 8;
 const STEP_MILLISECONDS = 50;
-const LATE_MILLISECONDS = 500;
+const LATE_DELIVERY_INTERVAL_MILLISECONDS = 500;
 
-/** One instance that holds shards and whose owner records what it is asked. */
+/** An instance that holds shards and whose recoveries and handovers can be slowed down or fail. */
 export class LeaseNode extends PausableNode {
   public readonly leases: ShardLeases;
   public recoveryMilliseconds = 0;
-  public failingRecoveries = 0;
-  public failingHandOvers = 0;
-  private incarnations = 0;
+  public remainingRecoveryFailures = 0;
+  public remainingHandoverFailures = 0;
+  private incarnationCount = 0;
 
   public constructor(
     shared: SharedPlatform,
     public readonly name: string,
-    /** Which instances this one believes to be eligible. */
+    /** Instances that this one considers eligible. */
     public eligible: ReadonlySet<string>,
     clockRate: number,
   ) {
     super(shared, clockRate);
     this.leases = new ShardLeases({
       address: '127.0.0.1:1',
-      createIncarnation: () => `${name}.${String(this.incarnations++)}` as IncarnationId,
+      createIncarnation: () => `${name}.${String(this.incarnationCount++)}` as IncarnationId,
       instance: name,
       logger: silentLogger,
       members: { eligible: () => this.eligible },
@@ -53,24 +53,24 @@
     state: ShardStateReference,
   ): Promise<ShardStateReference> {
     await sleep(this.timers, this.recoveryMilliseconds);
-    if (this.failingRecoveries > 0) {
-      this.failingRecoveries--;
-      throw new Error('the store is out');
+    if (this.remainingRecoveryFailures > 0) {
+      this.remainingRecoveryFailures--;
+      throw new Error('the store is unavailable');
     }
     return { ...state, snapshot: `${this.name}/${String(lease.epoch)}` };
   }
 
   private async handOver(lease: ShardLease): Promise<ShardStateReference> {
     await sleep(this.timers, this.recoveryMilliseconds);
-    if (this.failingHandOvers > 0) {
-      this.failingHandOvers--;
-      throw new Error('the store is out');
+    if (this.remainingHandoverFailures > 0) {
+      this.remainingHandoverFailures--;
+      throw new Error('the store is unavailable');
     }
     return { log: null, snapshot: `${this.name}/${String(lease.epoch)}/released` };
   }
 }
 
-/** Several instances over one table. */
+/** Several instances that share one table. */
 export class LeaseCluster {
   public readonly platform = createSharedPlatform();
   public readonly nodes: LeaseNode[] = [];
@@ -86,24 +86,24 @@
     return this.nodes.map(node => node.name);
   }
 
-  /** Kills an instance and starts one of another name in its place. */
+  /** Kills an instance and starts one with a new name in its place. */
   public replace(index: number): void {
     this.nodes[index]?.kill();
     this.start(index);
     this.healMembership();
   }
 
-  /** Every instance sees all of them. */
+  /** Makes every instance consider all instances eligible. */
   public healMembership(): void {
     for (const node of this.nodes) {
       node.eligible = new Set(this.names);
     }
   }
 
-  /** Lets time pass everywhere and checks all the while that no shard has two holders. */
+  /** Advances all clocks in small steps and checks after each that no shard has two holders. */
   public async advance(milliseconds: number): Promise<void> {
-    for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
-      if (passed % LATE_MILLISECONDS === 0) {
+    for (let elapsed = 0; elapsed < milliseconds; elapsed += STEP_MILLISECONDS) {
+      if (elapsed % LATE_DELIVERY_INTERVAL_MILLISECONDS === 0) {
         deliverLateWrites(this.platform);
       }
       for (const node of this.nodes) {
@@ -113,17 +113,17 @@
     }
   }
 
-  /** Throws when two instances act for one shard. */
+  /** Throws when two instances serve the same shard. */
   public check(): void {
-    for (let number = 0; number < SHARD_COUNT; number++) {
-      const holders = this.holdersOf(number as ShardId);
+    for (let shardNumber = 0; shardNumber < SHARD_COUNT; shardNumber++) {
+      const holders = this.holdersOf(shardNumber as ShardId);
       if (holders.length > 1) {
-        throw new Error(`shard ${String(number)} is held by ${holders.join(' and ')}`);
+        throw new Error(`shard ${String(shardNumber)} is held by ${holders.join(' and ')}`);
       }
     }
   }
 
-  /** The instances that act for a shard. */
+  /** Names of the instances that serve a shard. */
   public holdersOf(shard: ShardId): readonly string[] {
     return this.nodes
       .filter(node => !node.isDead)
@@ -131,7 +131,7 @@
       .map(node => node.name);
   }
 
-  /** Whether every shard is held by the instance that should hold it. */
+  /** Whether every shard is held by its preferred instance and by no other. */
   public get isSettled(): boolean {
     return Array.from({ length: SHARD_COUNT }, (_, shard) => shard as ShardId).every(shard => {
       const [holder, ...others] = this.holdersOf(shard);
--- a/packages/coordination/tests/leases/pausableNode.ts
+++ b/packages/coordination/tests/leases/pausableNode.ts
@@ -16,32 +16,35 @@
   MemoryTableService,
 } from '@zincring/stand-ins';
 
-/** The platform that all nodes of a test share. */
+/** Storage that all nodes of a test share. */
 export interface SharedPlatform {
   readonly table: MemoryTable;
   readonly objects: MemoryObjects;
-  /** Writes that are still on their way to the table although their sender has given them up. */
-  readonly late: Transaction[];
+  /** Writes that have not reached the table yet although their sender no longer waits for them. */
+  readonly lateWrites: Transaction[];
 }
 
-/** What becomes of a write without an answer: it takes effect at once, only later, or never. */
-export type WriteFate = 'late' | 'lost' | 'refused';
+/**
+ * Outcome of a write whose answer is lost: `lost` takes effect immediately, `late` only when late
+ * writes are delivered, `refused` never.
+ */
+export type ScriptedOutcome = 'late' | 'lost' | 'refused';
 
-/** Makes an empty platform. */
+/** Creates an empty platform. */
 export function createSharedPlatform(): SharedPlatform {
-  return { late: [], objects: new MemoryObjects(), table: new MemoryTable() };
+  return { lateWrites: [], objects: new MemoryObjects(), table: new MemoryTable() };
 }
 
-/** Lets late writes arrive. */
+/** Applies the late writes to the table. */
 export function deliverLateWrites(platform: SharedPlatform): void {
-  for (const transaction of platform.late.splice(0)) {
+  for (const transaction of platform.lateWrites.splice(0)) {
     platform.table.transact(transaction);
   }
 }
 
 /**
- * A process of a test with a clock of its own. While it is paused, its clock runs on, but none of
- * its timers fires and no operation on the platform leaves it or comes back.
+ * A simulated process with its own clock. While it is paused, its clock continues to run, but none
+ * of its timers fires and no operation on the platform is sent or answered.
  */
 export class PausableNode {
   public readonly timers = new ManualTimerService();
@@ -50,33 +53,36 @@
   public readonly table: TableService;
   public readonly objects: ObjectStore;
   public isDead = false;
-  /** How long answers of the platform take to come back. */
+  /** Delay of the answers of the platform. */
   public answerMilliseconds = 0;
-  /** The fate of the next writes of rows whose key has the prefix. */
-  public nextFate: { readonly prefix: string; readonly fate: WriteFate; count: number } | undefined;
-  /** Pauses or kills the node at one of the next moments at which it waits. */
+  /** Scripted outcome of the next `count` writes of rows whose key has the prefix. */
+  public nextFate:
+    { readonly prefix: string; readonly fate: ScriptedOutcome; count: number } | undefined;
+  /** Pauses or kills the node after it has passed `moments` more interruption points. */
   public interruption: { moments: number; readonly action: 'kill' | 'pause' } | undefined;
   private paused: { readonly resumed: Promise<void>; readonly resume: () => void } | undefined;
 
   public constructor(
     protected readonly platform: SharedPlatform,
-    /** How fast the clock runs. */
+    /** Speed of the node's clock relative to the time of the test. */
     private readonly clockRate = 1,
   ) {
     const table = new MemoryTableService(platform.table, this.tableFaults);
     const objects = new MemoryObjectStore(platform.objects, this.objectFaults);
     this.table = {
-      read: async keys => this.pass(async () => table.read(keys)),
-      scan: async request => this.pass(async () => table.scan(request)),
+      read: async keys => this.forward(async () => table.read(keys)),
+      scan: async request => this.forward(async () => table.scan(request)),
       transact: async transaction =>
-        this.pass(async () => this.takeFate(transaction) ?? table.transact(transaction)),
+        this.forward(
+          async () => this.applyScriptedOutcome(transaction) ?? table.transact(transaction),
+        ),
     };
     this.objects = {
-      delete: async name => this.pass(async () => objects.delete(name)),
-      get: async (name, range) => this.pass(async () => objects.get(name, range)),
-      list: async request => this.pass(async () => objects.list(request)),
+      delete: async name => this.forward(async () => objects.delete(name)),
+      get: async (name, range) => this.forward(async () => objects.get(name, range)),
+      list: async request => this.forward(async () => objects.list(request)),
       putIfAbsent: async (name, content) =>
-        this.pass(async () => objects.putIfAbsent(name, content)),
+        this.forward(async () => objects.putIfAbsent(name, content)),
     };
   }
 
@@ -84,7 +90,7 @@
     return this.paused !== undefined;
   }
 
-  /** Stops the node; it may be in the middle of anything. */
+  /** Pauses the node, possibly in the middle of an operation. */
   public pause(): void {
     if (this.paused !== undefined) {
       return;
@@ -96,7 +102,7 @@
     this.paused = { resume, resumed };
   }
 
-  /** Lets the node go on. */
+  /** Resumes the node unless it was killed. */
   public resume(): void {
     if (this.isDead) {
       return;
@@ -105,35 +111,37 @@
     this.paused = undefined;
   }
 
-  /** Ends the node for ever, in the middle of anything. */
+  /** Stops the node permanently, possibly in the middle of an operation. */
   public kill(): void {
     this.pause();
     this.isDead = true;
   }
 
-  /** Holds the outcome of a promise back while the node is paused. */
+  /** Delays the outcome of a promise while the node is paused. */
   public async gate<Value>(promise: Promise<Value>): Promise<Value> {
     const value = await promise;
-    await this.wait();
+    await this.waitAtInterruptionPoint();
     return value;
   }
 
-  /** Lets time pass. */
+  /** Advances the node's clock by the given time, scaled by its speed. */
   public async advance(milliseconds: number): Promise<void> {
-    const passed = milliseconds * this.clockRate;
+    const elapsed = milliseconds * this.clockRate;
     if (this.isPaused) {
-      this.timers.skip(passed);
+      this.timers.skip(elapsed);
       return;
     }
-    await this.timers.advance(passed);
+    await this.timers.advance(elapsed);
   }
 
-  private takeFate(
+  private applyScriptedOutcome(
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>> | undefined {
     const { nextFate } = this;
-    const isMeant = transaction.writes.some(write => write.key.startsWith(nextFate?.prefix ?? '-'));
-    if (nextFate === undefined || !isMeant) {
+    const isMatching = transaction.writes.some(write =>
+      write.key.startsWith(nextFate?.prefix ?? '-'),
+    );
+    if (nextFate === undefined || !isMatching) {
       return undefined;
     }
     nextFate.count--;
@@ -141,25 +149,25 @@
       this.nextFate = undefined;
     }
     if (nextFate.fate === 'late') {
-      this.platform.late.push(transaction);
+      this.platform.lateWrites.push(transaction);
     } else if (nextFate.fate === 'lost') {
       this.platform.table.transact(transaction);
     }
     return Promise.resolve(Err(new PlatformError('outcome-unknown', 'the answer was lost')));
   }
 
-  private async pass<Value>(operation: () => Promise<Value>): Promise<Value> {
-    await this.wait();
+  private async forward<Value>(operation: () => Promise<Value>): Promise<Value> {
+    await this.waitAtInterruptionPoint();
     const value = await operation();
     if (this.answerMilliseconds > 0) {
       await sleep(this.timers, this.answerMilliseconds);
     }
-    await this.wait();
+    await this.waitAtInterruptionPoint();
     return value;
   }
 
-  /** A moment at which the node may be interrupted. */
-  private async wait(): Promise<void> {
+  /** Carries out an interruption that is due, then waits while the node is paused. */
+  private async waitAtInterruptionPoint(): Promise<void> {
     if (this.interruption !== undefined && this.interruption.moments-- <= 0) {
       const { action } = this.interruption;
       this.interruption = undefined;
--- a/packages/coordination/tests/leases/session.test.ts
+++ b/packages/coordination/tests/leases/session.test.ts
@@ -6,8 +6,8 @@
 import { terms } from './leaseCluster.js';
 import { createSharedPlatform, deliverLateWrites, PausableNode } from './pausableNode.js';
 
-describe('a renewal that was given up', () => {
-  it('is recognized when it arrives between the look at the row and the next renewal', async () => {
+describe('a renewal that the holder no longer waits for', () => {
+  it('is recognized when it arrives between the read of the row and the next renewal', async () => {
     const platform = createSharedPlatform();
     const node = new PausableNode(platform);
     const session = new Session({
--- a/packages/coordination/tests/leases/shardLeases.test.ts
+++ b/packages/coordination/tests/leases/shardLeases.test.ts
@@ -9,7 +9,7 @@
 
 const SEED = 20_261_203;
 
-/** Clocks that run apart by less than the margin allows. */
+/** Clock rates that differ by less than the margin allows. */
 const clockRates = [1, 1.03, 0.97];
 
 type Step =
@@ -25,8 +25,8 @@
   | { readonly kind: 'slow'; readonly node: number; readonly milliseconds: number }
   | { readonly kind: 'step-clock'; readonly node: number; readonly milliseconds: number };
 
-const node = fc.nat({ max: clockRates.length - 1 });
-const step: fc.Arbitrary<Step> = fc.oneof(
+const nodeIndex = fc.nat({ max: clockRates.length - 1 });
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   {
     arbitrary: fc.record({
       kind: fc.constant('advance' as const),
@@ -37,7 +37,7 @@
   {
     arbitrary: fc.record({
       kind: fc.constantFrom('fail-owner', 'outage', 'pause', 'replace', 'resume' as const),
-      node,
+      node: nodeIndex,
     }),
     weight: 4,
   },
@@ -45,7 +45,7 @@
     arbitrary: fc.record({
       count: fc.integer({ max: 3, min: 1 }),
       kind: fc.constantFrom('errors', 'lost' as const),
-      node,
+      node: nodeIndex,
     }),
     weight: 3,
   },
@@ -57,25 +57,29 @@
         fate: fc.constantFrom('late', 'lost', 'refused' as const),
         prefix: fc.constantFrom('shard/', 'session/'),
       }),
-      node,
+      node: nodeIndex,
     }),
     weight: 3,
   },
   fc.record({ kind: fc.constant('heal' as const) }),
-  fc.record({ kind: fc.constant('see' as const), node, seen: fc.uniqueArray(node) }),
+  fc.record({
+    kind: fc.constant('see' as const),
+    node: nodeIndex,
+    seen: fc.uniqueArray(nodeIndex),
+  }),
   fc.record({
     kind: fc.constant('slow' as const),
     milliseconds: fc.constantFrom(0, 300, 1_500, 7_000),
-    node,
+    node: nodeIndex,
   }),
   fc.record({
     kind: fc.constant('step-clock' as const),
     milliseconds: fc.integer({ max: 86_400_000, min: -86_400_000 }),
-    node,
+    node: nodeIndex,
   }),
 );
 
-function heal(cluster: LeaseCluster): void {
+function clearFaults(cluster: LeaseCluster): void {
   cluster.healMembership();
   for (const each of cluster.nodes) {
     each.tableFaults.set({ errors: 0, latencyMilliseconds: 0, lostAnswers: 0, outage: 'none' });
@@ -86,34 +90,34 @@
   }
 }
 
-async function perform(cluster: LeaseCluster, next: Step): Promise<void> {
-  if (next.kind === 'advance') {
-    await cluster.advance(next.milliseconds);
-  } else if (next.kind === 'heal') {
-    heal(cluster);
+async function performStep(cluster: LeaseCluster, step: Step): Promise<void> {
+  if (step.kind === 'advance') {
+    await cluster.advance(step.milliseconds);
+  } else if (step.kind === 'heal') {
+    clearFaults(cluster);
   } else {
-    performAt(cluster, next);
+    performNodeStep(cluster, step);
   }
 }
 
-function performAt(
+function performNodeStep(
   cluster: LeaseCluster,
-  next: Exclude<Step, { kind: 'advance' } | { kind: 'heal' }>,
+  step: Exclude<Step, { kind: 'advance' } | { kind: 'heal' }>,
 ): void {
-  const target = cluster.nodes[next.node]!;
-  switch (next.kind) {
+  const target = cluster.nodes[step.node]!;
+  switch (step.kind) {
     case 'errors':
-      target.tableFaults.set({ errors: next.count });
+      target.tableFaults.set({ errors: step.count });
       return;
     case 'lost':
-      target.tableFaults.set({ lostAnswers: next.count });
+      target.tableFaults.set({ lostAnswers: step.count });
       return;
     case 'fate':
-      target.nextFate = next.next && { ...next.next };
+      target.nextFate = step.next && { ...step.next };
       return;
     case 'fail-owner':
-      target.failingRecoveries = 2;
-      target.failingHandOvers = 1;
+      target.remainingRecoveryFailures = 2;
+      target.remainingHandoverFailures = 1;
       return;
     case 'outage':
       target.tableFaults.set({ outage: 'refuse' });
@@ -122,35 +126,35 @@
       target.pause();
       return;
     case 'replace':
-      cluster.replace(next.node);
+      cluster.replace(step.node);
       return;
     case 'resume':
       target.resume();
       return;
     case 'see':
-      target.eligible = new Set([target.name, ...next.seen.map(index => cluster.names[index]!)]);
+      target.eligible = new Set([target.name, ...step.seen.map(index => cluster.names[index]!)]);
       return;
     case 'slow':
-      target.recoveryMilliseconds = next.milliseconds;
-      target.tableFaults.set({ latencyMilliseconds: next.milliseconds });
-      target.answerMilliseconds = next.milliseconds;
+      target.recoveryMilliseconds = step.milliseconds;
+      target.tableFaults.set({ latencyMilliseconds: step.milliseconds });
+      target.answerMilliseconds = step.milliseconds;
       return;
     case 'step-clock':
-      target.timers.stepWallClock(next.milliseconds);
+      target.timers.stepWallClock(step.milliseconds);
   }
 }
 
 describe('ownership of shards', () => {
-  it('has one holder at every moment, and the right one once the faults are over', async () => {
+  it('has at most one holder at any time, and the preferred one after the faults', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.array(step, { maxLength: 40, minLength: 10 }), async steps => {
+      fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 40, minLength: 10 }), async steps => {
         const cluster = new LeaseCluster(clockRates);
         cluster.healMembership();
-        for (const next of steps) {
-          await perform(cluster, next);
+        for (const step of steps) {
+          await performStep(cluster, step);
           cluster.check();
         }
-        heal(cluster);
+        clearFaults(cluster);
         await cluster.advance(8 * terms.termMilliseconds);
         expect(cluster.isSettled).toBe(true);
       }),
@@ -160,7 +164,7 @@
 });
 
 describe('a single fault', () => {
-  async function settledPair(): Promise<LeaseCluster> {
+  async function createSettledPair(): Promise<LeaseCluster> {
     const cluster = new LeaseCluster([1, 1]);
     cluster.healMembership();
     await cluster.advance(3 * terms.termMilliseconds);
@@ -169,7 +173,7 @@
   }
 
   it('keeps the session when a renewal takes longer than the interval', async () => {
-    const cluster = await settledPair();
+    const cluster = await createSettledPair();
     const [first] = cluster.nodes;
     const { incarnation } = first!.leases;
     first!.tableFaults.set({ latencyMilliseconds: 1_700 });
@@ -178,7 +182,7 @@
   });
 
   it.each([1, 2, 3])('keeps the session when the answers of %i writes are lost', async count => {
-    const cluster = await settledPair();
+    const cluster = await createSettledPair();
     const [first] = cluster.nodes;
     const { incarnation } = first!.leases;
     first!.tableFaults.set({ lostAnswers: count });
@@ -187,10 +191,10 @@
     expect(cluster.isSettled).toBe(true);
   });
 
-  it('releases a shard in the end although hand-over, row and answers fail', async () => {
-    const cluster = await settledPair();
+  it('eventually releases a shard when its handover and the writes of its row fail', async () => {
+    const cluster = await createSettledPair();
     const [first, second] = cluster.nodes;
-    first!.failingHandOvers = SHARD_COUNT;
+    first!.remainingHandoverFailures = SHARD_COUNT;
     first!.eligible = new Set([second!.name]);
     second!.eligible = new Set([second!.name]);
     first!.nextFate = { count: 60, fate: 'refused', prefix: 'shard/' };
@@ -200,8 +204,8 @@
     }
   });
 
-  it('goes on renewing and taking while a recovery takes longer than the term', async () => {
-    const cluster = await settledPair();
+  it('keeps renewing and acquiring while a recovery takes longer than the term', async () => {
+    const cluster = await createSettledPair();
     const [, second] = cluster.nodes;
     second!.recoveryMilliseconds = 3 * terms.termMilliseconds;
     const { incarnation } = second!.leases;
@@ -215,9 +219,9 @@
   });
 
   it.each(['session/', 'shard/'])(
-    'keeps its shards when a write of %s arrives late',
+    'keeps its shards when a write to %s arrives late',
     async prefix => {
-      const cluster = await settledPair();
+      const cluster = await createSettledPair();
       const [first] = cluster.nodes;
       const { incarnation } = first!.leases;
       first!.nextFate = { count: 1, fate: 'late', prefix };
@@ -228,7 +232,7 @@
   );
 
   it.each(['late', 'lost'] as const)(
-    'leaves no shard behind whose taking was %s when another should hold it by then',
+    'leaves no shard unheld whose acquisition was %s before another instance became preferred',
     async fate => {
       const cluster = new LeaseCluster([1, 1]);
       const [first, second] = cluster.nodes;
@@ -245,8 +249,8 @@
     },
   );
 
-  it('counts its term from before the renewal, however late the answer comes', async () => {
-    const cluster = await settledPair();
+  it('measures its term from before the renewal, however late the answer arrives', async () => {
+    const cluster = await createSettledPair();
     const [first, second] = cluster.nodes;
     second!.eligible = new Set([second!.name]);
     first!.answerMilliseconds = 4_800;
@@ -256,8 +260,8 @@
     expect(cluster.holdersOf(0 as ShardId)).toEqual([second!.name]);
   });
 
-  it('ends its session for good at a planned stop', async () => {
-    const cluster = await settledPair();
+  it('ends its session permanently at a planned stop', async () => {
+    const cluster = await createSettledPair();
     const [first, second] = cluster.nodes;
     second!.eligible = new Set([second!.name]);
     first!.eligible = new Set([second!.name]);
@@ -269,8 +273,8 @@
   });
 });
 
-describe('sessions of instances that are gone', () => {
-  it('are ended although they held nothing, and those of live ones are not', async () => {
+describe('sessions of stopped instances', () => {
+  it('are ended even if they held no shard, while those of live instances are kept', async () => {
     const cluster = new LeaseCluster([1, 1, 1]);
     const [first, second, third] = cluster.nodes;
     for (const each of cluster.nodes) {
@@ -290,21 +294,21 @@
   });
 });
 
-describe('time until another instance holds the shards', () => {
-  /** Milliseconds until the second instance holds all shards that the first held. */
-  async function measure(cluster: LeaseCluster): Promise<number> {
+describe('takeover time', () => {
+  /** Returns the milliseconds until the second instance holds all shards that the first held. */
+  async function measureTakeover(cluster: LeaseCluster): Promise<number> {
     const [, second] = cluster.nodes;
-    const held = (): number =>
+    const countHeldShards = (): number =>
       second!.leases.heldShards.filter(shard => second!.leases.standing(shard) === 'held').length;
-    for (let passed = 0; ; passed += 50) {
-      if (held() === SHARD_COUNT || passed > 10 * terms.termMilliseconds) {
-        return passed;
+    for (let elapsed = 0; ; elapsed += 50) {
+      if (countHeldShards() === SHARD_COUNT || elapsed > 10 * terms.termMilliseconds) {
+        return elapsed;
       }
       await cluster.advance(50);
     }
   }
 
-  it('is little above a term after a crash, and little above a renewal after a stop', async () => {
+  it('is about one term after a crash and about one renewal interval after a stop', async () => {
     const ratios: Record<string, number> = {};
     for (const kind of ['crash', 'stop'] as const) {
       const cluster = new LeaseCluster([1, 1]);
@@ -318,7 +322,7 @@
         first!.eligible = new Set([second!.name]);
         void first!.leases.stop();
       }
-      ratios[kind] = (await measure(cluster)) / terms.termMilliseconds;
+      ratios[kind] = (await measureTakeover(cluster)) / terms.termMilliseconds;
     }
     console.log(`takeover in lease terms: ${JSON.stringify(ratios)}`);
     expect(ratios['crash']).toBeLessThanOrEqual(1.5);
