--- a/packages/coordination/tests/leases/shardLeases.test.ts
+++ b/packages/coordination/tests/leases/shardLeases.test.ts
@@ -233,11 +233,11 @@
 
   it.each(['late', 'lost'] as const)(
     'leaves no shard unheld whose acquisition was %s before another instance became preferred',
-    async fate => {
+    async scriptedOutcome => {
       const cluster = new LeaseCluster([1, 1]);
       const [first, second] = cluster.nodes;
       second!.eligible = new Set([first!.name]);
-      first!.nextFate = { count: 1, fate, prefix: 'shard/' };
+      first!.nextFate = { count: 1, fate: scriptedOutcome, prefix: 'shard/' };
       await cluster.advance(terms.renewMilliseconds + 50);
       expect(first!.nextFate).toBeUndefined();
       first!.eligible = new Set([second!.name]);
