--- a/packages/coordination/src/log/logReader.ts
+++ b/packages/coordination/src/log/logReader.ts
@@ -8,29 +8,28 @@
 
 import { decodeGroup, logObjectName } from './logRecord.js';
 
-/** Records of one commit group by shard. */
-type LogGroup = ReadonlyMap<ShardId, readonly LogRecord[]>;
+/** Records of one commit group, by shard. */
+type RecordsByShard = ReadonlyMap<ShardId, readonly LogRecord[]>;
 
-/** An answer of the object store; `undefined` for an object that does not exist. */
-type GroupAnswer = Result<LogGroup | undefined, PlatformError>;
+/** Outcome of reading a commit group; `undefined` for an object that does not exist. */
+type GroupReadResult = Result<RecordsByShard | undefined, PlatformError>;
 
-/** Objects that are read at the same time. */
+/** Number of objects that are read concurrently. */
 const PARALLEL_READS = 16;
-/** Commit groups that are kept for the other shards of the same log. */
-const MOST_CACHED_GROUPS = 512;
+/** Bound on the commit groups that are cached for the other shards of the same log. */
+const MAXIMUM_CACHED_GROUPS = 512;
 
 /**
- * Reads logs of other incarnations. A commit group never changes, so that those read for one
- * shard serve the other shards of the log as well.
+ * Reads logs of other incarnations. Commit groups are immutable, so those read for one shard are
+ * reused for the other shards of the log.
  */
 export class LogReader {
-  private readonly groups = new Map<string, Promise<GroupAnswer>>();
+  private readonly cachedReads = new Map<string, Promise<GroupReadResult>>();
 
   public constructor(private readonly objects: ObjectStore) {}
 
   /**
-   * Reads the records of a shard up to the last object without a gap, as the log stands when the
-   * call is made.
+   * Reads the records of a shard up to the first missing object, as of the time of the call.
    *
    * @example
    * const records = await reader.read(state.log, shard);
@@ -41,16 +40,16 @@
   ): Promise<Result<readonly LogRecord[], PlatformError>> {
     const records: LogRecord[] = [];
     for (let from = Math.max(1, reference.from); ; from += PARALLEL_READS) {
-      const answers = await this.readWindow(reference.incarnation, from);
-      for (const answer of answers) {
-        if (answer.err) {
-          return Err(answer.val);
+      const results = await this.readWindow(reference.incarnation, from);
+      for (const result of results) {
+        if (result.err) {
+          return Err(result.val);
         }
-        if (answer.val === undefined) {
+        if (result.val === undefined) {
           return Ok(records);
         }
-        const own = answer.val.get(shard) ?? [];
-        records.push(...own.filter(record => record.epoch === reference.epoch));
+        const shardRecords = result.val.get(shard) ?? [];
+        records.push(...shardRecords.filter(record => record.epoch === reference.epoch));
       }
     }
   }
@@ -58,8 +57,9 @@
   private async readWindow(
     incarnation: IncarnationId,
     from: number,
-  ): Promise<readonly GroupAnswer[]> {
-    // Most logs end soon after the snapshot: one look spares a window of absent objects.
+  ): Promise<readonly GroupReadResult[]> {
+    // Most logs end soon after the snapshot: a single read first avoids reading a window of
+    // objects that do not exist.
     const first = await this.readGroup(logObjectName(incarnation, from));
     if (first.err || first.val === undefined) {
       return [first];
@@ -70,50 +70,50 @@
     return [first, ...(await Promise.all(names.map(async name => this.readGroup(name))))];
   }
 
-  private async readGroup(name: string): Promise<GroupAnswer> {
-    const begun = this.groups.get(name);
-    if (begun !== undefined) {
-      const answer = await begun;
-      // A read that began earlier proves what exists, but not what is absent now.
-      if (answer.ok && answer.val !== undefined) {
-        return answer;
+  private async readGroup(name: string): Promise<GroupReadResult> {
+    const cachedRead = this.cachedReads.get(name);
+    if (cachedRead !== undefined) {
+      const result = await cachedRead;
+      // A read that started earlier shows that an object exists, but not that it is still absent.
+      if (result.ok && result.val !== undefined) {
+        return result;
       }
     }
-    const reading = this.fetchGroup(name);
-    this.remember(name, reading);
-    const answer = await reading;
-    if ((answer.err || answer.val === undefined) && this.groups.get(name) === reading) {
-      this.groups.delete(name);
+    const groupRead = this.fetchGroup(name);
+    this.cacheRead(name, groupRead);
+    const result = await groupRead;
+    if ((result.err || result.val === undefined) && this.cachedReads.get(name) === groupRead) {
+      this.cachedReads.delete(name);
     }
-    return answer;
+    return result;
   }
 
-  private async fetchGroup(name: string): Promise<GroupAnswer> {
+  private async fetchGroup(name: string): Promise<GroupReadResult> {
     const content = await this.objects.get(name);
-    return content.map(bytes => (bytes === undefined ? undefined : indexByShard(bytes)));
+    return content.map(bytes => (bytes === undefined ? undefined : groupByShard(bytes)));
   }
 
-  private remember(name: string, reading: Promise<GroupAnswer>): void {
-    this.groups.delete(name);
-    this.groups.set(name, reading);
-    for (const oldest of this.groups.keys()) {
-      if (this.groups.size <= MOST_CACHED_GROUPS) {
+  private cacheRead(name: string, groupRead: Promise<GroupReadResult>): void {
+    this.cachedReads.delete(name);
+    this.cachedReads.set(name, groupRead);
+    for (const oldest of this.cachedReads.keys()) {
+      if (this.cachedReads.size <= MAXIMUM_CACHED_GROUPS) {
         return;
       }
-      this.groups.delete(oldest);
+      this.cachedReads.delete(oldest);
     }
   }
 }
 
-function indexByShard(content: Uint8Array): LogGroup {
-  const index = new Map<ShardId, LogRecord[]>();
+function groupByShard(content: Uint8Array): RecordsByShard {
+  const recordsByShard = new Map<ShardId, LogRecord[]>();
   for (const record of decodeGroup(content)) {
-    const known = index.get(record.shard);
-    if (known === undefined) {
-      index.set(record.shard, [record]);
+    const shardRecords = recordsByShard.get(record.shard);
+    if (shardRecords === undefined) {
+      recordsByShard.set(record.shard, [record]);
     } else {
-      known.push(record);
+      shardRecords.push(record);
     }
   }
-  return index;
+  return recordsByShard;
 }
--- a/packages/coordination/src/log/logRecord.ts
+++ b/packages/coordination/src/log/logRecord.ts
@@ -3,27 +3,27 @@
 /** One record of the write-ahead log. */
 export interface LogRecord {
   readonly shard: ShardId;
-  /** Fencing number under which the record was written. */
+  /** Fencing token under which the record was written. */
   readonly epoch: Epoch;
-  /** What happened, as the owner of the shard encodes it. */
+  /** Event, as the owner of the shard encodes it. */
   readonly payload: string;
 }
 
-/** Where a commit group stands. */
+/** Position of a commit group: the log that it belongs to and its place in that log. */
 export interface LogPosition {
   readonly incarnation: IncarnationId;
-  /** Number of the object, from 1. */
+  /** Sequence number of the object in its log, starting at 1. */
   readonly sequence: number;
 }
 
 const SEQUENCE_DIGITS = 12;
 
-/** Prefix of the objects of all logs. */
-export const LOG_ROOT = 'log/';
+/** Name prefix of the objects of all logs. */
+export const LOG_NAME_PREFIX = 'log/';
 
-/** Prefix of the objects of one incarnation's log. */
+/** Name prefix of the objects of one incarnation's log. */
 export function logPrefix(incarnation: IncarnationId): string {
-  return `${LOG_ROOT}${incarnation}/`;
+  return `${LOG_NAME_PREFIX}${incarnation}/`;
 }
 
 /** Name of the object of one commit group. */
@@ -31,7 +31,7 @@
   return `${logPrefix(incarnation)}${String(sequence).padStart(SEQUENCE_DIGITS, '0')}`;
 }
 
-/** Reads the name of the object of a commit group; `undefined` for any other name. */
+/** Parses the name of the object of a commit group; `undefined` for any other name. */
 export function parseLogObjectName(name: string): LogPosition | undefined {
   const match = /^log\/([^/]+)\/(\d+)$/.exec(name);
   return match === null
--- a/packages/coordination/src/log/logSweeper.ts
+++ b/packages/coordination/src/log/logSweeper.ts
@@ -6,9 +6,9 @@
 import type { LogPosition } from './logRecord.js';
 
 import { parseShardRow, shardRowKey } from '../leases/leaseRows.js';
-import { LOG_ROOT, parseLogObjectName } from './logRecord.js';
+import { LOG_NAME_PREFIX, parseLogObjectName } from './logRecord.js';
 
-/** What sweeping needs. */
+/** Options of a {@link LogSweeper}. */
 export interface LogSweeperOptions {
   readonly table: TableService;
   readonly objects: ObjectStore;
@@ -20,34 +20,35 @@
   readonly position: LogPosition;
 }
 
-const NAMES_PER_PAGE = 1_000;
+const OBJECTS_PER_PAGE = 1_000;
 
 /**
  * Deletes the log objects that no shard needs. The objects are listed before the rows are read: a
- * reference that is made later covers only objects written later, so that whatever the rows do
- * not need then is never needed again, however late it is deleted.
+ * reference written to a row later covers only objects written later. A listed object that the
+ * rows do not need is therefore never needed again, however late it is deleted.
  */
 export class LogSweeper {
   public constructor(private readonly options: LogSweeperOptions) {}
 
   /**
-   * Deletes once what is not needed.
+   * Deletes the log objects that are not needed at present.
    *
    * @returns the number of objects deleted
    */
   public async sweep(): Promise<Result<number, PlatformError>> {
-    const listed = await this.list();
+    const listed = await this.listLogObjects();
     if (listed.err) {
       return listed;
     }
-    const needed = await this.readNeeded();
-    if (needed.err) {
-      return needed;
+    const firstNeededSequences = await this.readFirstNeededSequences();
+    if (firstNeededSequences.err) {
+      return firstNeededSequences;
     }
     let deleted = 0;
     for (const { name, position } of listed.val) {
-      const from = needed.val.get(position.incarnation) ?? Number.POSITIVE_INFINITY;
-      if (position.sequence >= from) {
+      const firstNeededSequence =
+        firstNeededSequences.val.get(position.incarnation) ?? Number.POSITIVE_INFINITY;
+      if (position.sequence >= firstNeededSequence) {
         continue;
       }
       const outcome = await this.options.objects.delete(name);
@@ -59,13 +60,13 @@
     return Ok(deleted);
   }
 
-  private async list(): Promise<Result<readonly ListedObject[], PlatformError>> {
+  private async listLogObjects(): Promise<Result<readonly ListedObject[], PlatformError>> {
     const listed: ListedObject[] = [];
     let after: string | undefined;
     do {
       const page = await this.options.objects.list({
-        limit: NAMES_PER_PAGE,
-        prefix: LOG_ROOT,
+        limit: OBJECTS_PER_PAGE,
+        prefix: LOG_NAME_PREFIX,
         ...(after === undefined ? {} : { after }),
       });
       if (page.err) {
@@ -82,21 +83,26 @@
     return Ok(listed);
   }
 
-  /** First sequence number that is needed of each log. */
-  private async readNeeded(): Promise<Result<ReadonlyMap<IncarnationId, number>, PlatformError>> {
+  /** Reads the first sequence number that is still needed of each log. */
+  private async readFirstNeededSequences(): Promise<
+    Result<ReadonlyMap<IncarnationId, number>, PlatformError>
+  > {
     const keys = Array.from({ length: this.options.shardCount }, (_, shard) =>
       shardRowKey(shard as ShardId),
     );
     const read = await this.options.table.read(keys);
     return read.map(rows => {
-      const needed = new Map<IncarnationId, number>();
+      const firstNeededSequences = new Map<IncarnationId, number>();
       for (const row of rows) {
         const { log } = parseShardRow(row).state;
         if (log !== null) {
-          needed.set(log.incarnation, Math.min(log.from, needed.get(log.incarnation) ?? log.from));
+          firstNeededSequences.set(
+            log.incarnation,
+            Math.min(log.from, firstNeededSequences.get(log.incarnation) ?? log.from),
+          );
         }
       }
-      return needed;
+      return firstNeededSequences;
     });
   }
 }
--- a/packages/coordination/src/log/writeAheadLog.ts
+++ b/packages/coordination/src/log/writeAheadLog.ts
@@ -7,43 +7,43 @@
 
 import { encodeGroup, logObjectName } from './logRecord.js';
 
-/** What a log needs. */
+/** Options of a {@link WriteAheadLog}. */
 export interface WriteAheadLogOptions {
   readonly objects: ObjectStore;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly incarnation: IncarnationId;
-  /** How long a commit group collects records, in milliseconds. */
+  /** Time for which a commit group collects records, in milliseconds. */
   readonly groupMilliseconds: number;
-  /** Most records that wait for the store. */
+  /** Maximum number of records that wait to be stored. */
   readonly maximumPending: number;
-  /** Pause before a failed write is tried again, in milliseconds. */
+  /** Delay before a failed write is retried, in milliseconds. */
   readonly retryMilliseconds: number;
 }
 
-/** Why a record did not become durable. */
+/** Reason why a record did not become durable. */
 export type LogFailure = 'closed' | 'foreign-object' | 'full';
 
 /** A record that the log has accepted. */
 export interface QueuedRecord {
-  /** Settles once the record is durable, however long the store is out. */
+  /** Settles once the record is durable or has failed, however long the store is unavailable. */
   readonly stored: Promise<Result<LogPosition, LogFailure>>;
 }
 
 interface PendingRecord {
   readonly record: LogRecord;
-  readonly settle: (outcome: Result<LogPosition, LogFailure>) => void;
+  readonly resolve: (outcome: Result<LogPosition, LogFailure>) => void;
 }
 
-/** Share of the room for records that new work may fill; the rest is for work that runs. */
-const ADMITTED_SHARE = 0.8;
+/** Share of the pending records that new work may use; the rest is reserved for running work. */
+const NEW_WORK_SHARE = 0.8;
 
-/** Size at which a commit group takes no more records, in characters. */
-const LARGEST_GROUP = 4 * 1_024 * 1_024;
+/** Size at which a commit group is closed, in characters. */
+const MAXIMUM_GROUP_CHARACTERS = 4 * 1_024 * 1_024;
 
 /**
- * The log of one incarnation: an object per commit group, each stored on condition that it does
- * not exist. A record is durable once its group is stored.
+ * The log of one incarnation: one object per commit group, each written only if it does not exist
+ * yet. A record is durable once its group is stored.
  */
 export class WriteAheadLog {
   private readonly queue: Channel<PendingRecord>;
@@ -69,28 +69,28 @@
     return this.options.incarnation;
   }
 
-  /** Sequence number that the next commit group will have. */
+  /** Sequence number of the next commit group to be stored. */
   public get upcomingSequence(): number {
     return this.nextSequence;
   }
 
-  /** Records that are not durable yet. */
+  /** Number of records that are not durable yet. */
   public get pending(): number {
     return this.pendingCount;
   }
 
-  /** Whether more work may be begun whose records will have to wait for the store. */
+  /** Whether new work may be started whose records will have to wait for the store. */
   public get hasRoom(): boolean {
-    return this.pendingCount < this.options.maximumPending * ADMITTED_SHARE;
+    return this.pendingCount < this.options.maximumPending * NEW_WORK_SHARE;
   }
 
-  /** Whether the last write of a group failed, so that waiting may take long. */
+  /** Whether the last attempt to store a group failed, so that waiting may take long. */
   public get isStalled(): boolean {
     return this.isStoreFailing;
   }
 
   /**
-   * Accepts a record, or refuses it at once: a record that was refused never becomes durable.
+   * Accepts or rejects a record immediately. A rejected record never becomes durable.
    *
    * @example
    * const queued = log.append(record);
@@ -103,18 +103,18 @@
     if (this.pendingCount >= this.options.maximumPending) {
       return Err('full');
     }
-    let settleRecord: PendingRecord['settle'] = () => undefined;
+    let resolveStored: PendingRecord['resolve'] = () => undefined;
     const stored = new Promise<Result<LogPosition, LogFailure>>(resolve => {
-      settleRecord = resolve;
+      resolveStored = resolve;
     });
-    if (!this.queue.offer({ record, settle: settleRecord })) {
+    if (!this.queue.offer({ record, resolve: resolveStored })) {
       return Err('full');
     }
     this.pendingCount++;
     return Ok({ stored });
   }
 
-  /** Waits until a record is durable, or `undefined` once the store fails before that. */
+  /** Waits until a record is durable; returns `undefined` if the store fails before that. */
   public async storedOrStalled(
     queued: QueuedRecord,
   ): Promise<Result<LogPosition, LogFailure> | undefined> {
@@ -133,7 +133,7 @@
     return outcome;
   }
 
-  /** Refuses further records and lets the queued ones become durable. */
+  /** Rejects further records; those already queued still become durable. */
   public close(): void {
     this.failure ??= 'closed';
     this.queue.close();
@@ -147,14 +147,14 @@
       }
       yield* settle(sleep(this.options.timers, this.options.groupMilliseconds));
       const group = [first];
-      let size = first.record.payload.length;
-      while (this.queue.size > 0 && size < LARGEST_GROUP) {
+      let sizeCharacters = first.record.payload.length;
+      while (this.queue.size > 0 && sizeCharacters < MAXIMUM_GROUP_CHARACTERS) {
         const next = yield* this.queue.receive();
         if (next === undefined) {
           break;
         }
         group.push(next);
-        size += next.record.payload.length;
+        sizeCharacters += next.record.payload.length;
       }
       yield* this.commit(group);
     }
@@ -164,7 +164,7 @@
     const { incarnation } = this.options;
     const sequence = this.nextSequence;
     const content = encodeGroup(group.map(pending => pending.record));
-    const outcome = yield* settle(this.store(logObjectName(incarnation, sequence), content));
+    const outcome = yield* settle(this.storeGroup(logObjectName(incarnation, sequence), content));
     const isStored = outcome.ok && outcome.val;
     if (isStored) {
       this.nextSequence++;
@@ -173,14 +173,14 @@
     }
     this.pendingCount -= group.length;
     for (const pending of group) {
-      pending.settle(isStored ? Ok({ incarnation, sequence }) : Err('foreign-object'));
+      pending.resolve(isStored ? Ok({ incarnation, sequence }) : Err('foreign-object'));
     }
   }
 
-  /** Stores a group, however long it takes; `false` when another object has its name. */
-  private async store(name: string, content: Uint8Array): Promise<boolean> {
+  /** Retries until a group is stored; `false` when a different object already has its name. */
+  private async storeGroup(name: string, content: Uint8Array): Promise<boolean> {
     for (;;) {
-      const outcome = await this.tryStore(name, content);
+      const outcome = await this.tryStoreGroup(name, content);
       if (outcome.ok) {
         this.isStoreFailing = false;
         return outcome.val;
@@ -193,16 +193,19 @@
     }
   }
 
-  /** An object of the same content is an earlier attempt whose answer was lost. */
-  private async tryStore(
+  /**
+   * Attempts to store a group. An existing object with the same content counts as stored: it is
+   * an earlier attempt whose answer was lost.
+   */
+  private async tryStoreGroup(
     name: string,
     content: Uint8Array,
   ): Promise<Result<boolean, PlatformError>> {
-    const put = await this.options.objects.putIfAbsent(name, content);
-    if (put.err || put.val === 'stored') {
-      return put.map(() => true);
+    const putOutcome = await this.options.objects.putIfAbsent(name, content);
+    if (putOutcome.err || putOutcome.val === 'stored') {
+      return putOutcome.map(() => true);
     }
-    const found = await this.options.objects.get(name);
-    return found.map(bytes => bytes !== undefined && Buffer.from(bytes).equals(content));
+    const existing = await this.options.objects.get(name);
+    return existing.map(bytes => bytes !== undefined && Buffer.from(bytes).equals(content));
   }
 }
