--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -1,17 +1,17 @@
 import type { AvailabilityZone, IncarnationId, InstanceId, TimerService } from '@zincring/core';
 import type { DirectoryEntry } from '@zincring/platform';
 
-/** Another instance as this one sees it. */
+/** Another instance, as known to this one. */
 export interface Peer {
   readonly id: InstanceId;
   readonly address: string;
   readonly zone: AvailabilityZone;
-  /** Incarnation last heard of; `undefined` before the first heartbeat. */
+  /** Incarnation given in the last heartbeat; `undefined` before the first heartbeat. */
   readonly incarnation: IncarnationId | undefined;
   readonly isLeaving: boolean;
 }
 
-/** What a heartbeat tells of its sender. */
+/** Contents of a heartbeat: identity and state of its sender. */
 export interface Heartbeat {
   readonly id: InstanceId;
   readonly address: string;
@@ -20,11 +20,11 @@
   readonly isLeaving: boolean;
 }
 
-/** How membership judges. */
+/** Options of {@link Membership}. */
 export interface MembershipOptions {
   readonly timers: TimerService;
   readonly self: InstanceId;
-  /** How long a peer counts as alive after it was last heard, in milliseconds. */
+  /** Time for which a peer counts as alive after its last heartbeat, in milliseconds. */
   readonly suspectMilliseconds: number;
 }
 
@@ -33,7 +33,8 @@
 }
 
 /**
- * Which instances are alive: the platform's list says who may exist, heartbeats overrule its lag.
+ * Tracks which instances are alive. The platform's directory lists the instances that may exist;
+ * it lags behind, so a recent heartbeat takes precedence over it.
  */
 export class Membership {
   private readonly peers = new Map<InstanceId, PeerRecord>();
@@ -41,18 +42,18 @@
 
   public constructor(private readonly options: MembershipOptions) {}
 
-  /** Every peer known, alive or not. */
+  /** All known peers, alive or not. */
   public get known(): readonly Peer[] {
     return [...this.peers.values()];
   }
 
-  /** Peers heard of within the suspicion time. */
+  /** Peers whose last heartbeat is within the suspicion time. */
   public get alive(): readonly Peer[] {
-    const oldest = this.options.timers.now() - this.options.suspectMilliseconds;
-    return [...this.peers.values()].filter(peer => peer.heardAt >= oldest);
+    const oldestAliveAt = this.options.timers.now() - this.options.suspectMilliseconds;
+    return [...this.peers.values()].filter(peer => peer.heardAt >= oldestAliveAt);
   }
 
-  /** Takes over the platform's list. Instances that have left it are forgotten once silent. */
+  /** Applies the platform's directory. Unlisted peers are removed once they are no longer alive. */
   public updateFromDirectory(entries: readonly DirectoryEntry[]): void {
     const listed = new Set<string>();
     for (const entry of entries) {
@@ -81,7 +82,7 @@
     }
   }
 
-  /** Notes that a peer was heard. */
+  /** Records a heartbeat of a peer. */
   public heard(heartbeat: Heartbeat): void {
     if (heartbeat.id === this.options.self) {
       return;
@@ -89,12 +90,12 @@
     this.peers.set(heartbeat.id, { ...heartbeat, heardAt: this.options.timers.now() });
   }
 
-  /** Announces that this instance leaves: it is no longer eligible for shards. */
+  /** Marks this instance as leaving: it is no longer eligible for shards. */
   public leave(): void {
     this.isSelfLeaving = true;
   }
 
-  /** Names of the instances that should hold shards. */
+  /** Returns the names of the instances that may hold shards. */
   public eligible(): ReadonlySet<string> {
     const names = new Set<string>(this.alive.filter(peer => !peer.isLeaving).map(peer => peer.id));
     if (!this.isSelfLeaving) {
@@ -103,7 +104,7 @@
     return names;
   }
 
-  /** The live peer of a name. */
+  /** Finds a peer by its name, provided that it is alive. */
   public find(id: InstanceId): Peer | undefined {
     return this.alive.find(peer => peer.id === id);
   }
--- a/packages/coordination/src/shards/shardMap.ts
+++ b/packages/coordination/src/shards/shardMap.ts
@@ -3,9 +3,9 @@
 import { hash32 } from '@zincring/core';
 
 /**
- * The shard of a program or workspace.
+ * Returns the shard of a program or workspace.
  *
- * @param shardCount a power of two, the same on every instance for ever
+ * @param shardCount a power of two, identical on every instance and never changed
  * @example
  * const shard = shardOf(programId, 256);
  */
@@ -14,8 +14,8 @@
 }
 
 /**
- * Rendezvous hashing: the member that should hold a shard. A change of one member moves only
- * the shards of that member.
+ * Selects the member that should hold a shard by rendezvous hashing. Adding or removing a member
+ * moves only the shards of that member.
  *
  * @returns the preferred member, or `undefined` when there is none
  * @example
