--- a/packages/coordination/tests/leases/pausableNode.ts
+++ b/packages/coordination/tests/leases/pausableNode.ts
@@ -137,20 +137,20 @@
   private applyScriptedOutcome(
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>> | undefined {
-    const { nextFate } = this;
+    const { nextFate: scripted } = this;
     const isMatching = transaction.writes.some(write =>
-      write.key.startsWith(nextFate?.prefix ?? '-'),
+      write.key.startsWith(scripted?.prefix ?? '-'),
     );
-    if (nextFate === undefined || !isMatching) {
+    if (scripted === undefined || !isMatching) {
       return undefined;
     }
-    nextFate.count--;
-    if (nextFate.count <= 0) {
+    scripted.count--;
+    if (scripted.count <= 0) {
       this.nextFate = undefined;
     }
-    if (nextFate.fate === 'late') {
+    if (scripted.fate === 'late') {
       this.platform.lateWrites.push(transaction);
-    } else if (nextFate.fate === 'lost') {
+    } else if (scripted.fate === 'lost') {
       this.platform.table.transact(transaction);
     }
     return Promise.resolve(Err(new PlatformError('outcome-unknown', 'the answer was lost')));
