--- a/packages/coordination/tests/leases/pausableNode.ts
+++ b/packages/coordination/tests/leases/pausableNode.ts
@@ -58,7 +58,7 @@
   /** Scripted outcome of the next `count` writes of rows whose key has the prefix. */
   public nextFate:
     { readonly prefix: string; readonly fate: ScriptedOutcome; count: number } | undefined;
-  /** Pauses or kills the node after it has passed `moments` more interruption points. */
+  /** Pauses or kills the node after it has passed the given number of interruption points. */
   public interruption: { moments: number; readonly action: 'kill' | 'pause' } | undefined;
   private paused: { readonly resumed: Promise<void>; readonly resume: () => void } | undefined;
 
