--- a/packages/coordination/src/leases/session.ts
+++ b/packages/coordination/src/leases/session.ts
@@ -139,7 +139,10 @@
     return row.version === this.rowVersion ? 'renewed' : this.applyUnresolvedRenewal(row);
   }
 
-  /** Applies a row that an unanswered renewal of this session wrote; any other row means a loss. */
+  /**
+   * Applies a row that an unanswered renewal of this session wrote. Any other row means that the
+   * session was lost.
+   */
   private applyUnresolvedRenewal(row: Row): RenewalOutcome {
     const sentAt = this.unresolvedRenewals.get(row.value);
     if (sentAt === undefined) {
--- a/packages/coordination/src/log/writeAheadLog.ts
+++ b/packages/coordination/src/log/writeAheadLog.ts
@@ -35,7 +35,7 @@
   readonly resolve: (outcome: Result<LogPosition, LogFailure>) => void;
 }
 
-/** Share of the pending records that new work may use; the rest is reserved for running work. */
+/** Share of `maximumPending` that new work may fill; the rest is reserved for running work. */
 const NEW_WORK_SHARE = 0.8;
 
 /** Size at which a commit group is closed, in characters. */
