--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -12,7 +12,7 @@
 export type {
   ShardLease,
   ShardOwner,
-  ShardStanding,
+  ShardLeaseStatus,
   ShardWriteFailure,
 } from './leases/shardLease.js';
 export type { ShardLeasesOptions, ShardMembers } from './leases/shardLeases.js';
--- a/packages/coordination/src/leases/heldShard.ts
+++ b/packages/coordination/src/leases/heldShard.ts
@@ -5,7 +5,7 @@
 
 import type { ShardRow, ShardStateReference } from './leaseRows.js';
 import type { Session } from './session.js';
-import type { ShardLease, ShardStanding, ShardWriteFailure } from './shardLease.js';
+import type { ShardLease, ShardLeaseStatus, ShardWriteFailure } from './shardLease.js';
 
 import { parseShardRow, shardRowKey } from './leaseRows.js';
 
@@ -46,7 +46,7 @@
     return this.currentState;
   }
 
-  public get standing(): ShardStanding {
+  public get status(): ShardLeaseStatus {
     switch (this.phase) {
       case 'dropped':
         return 'none';
--- a/packages/coordination/src/leases/shardLease.ts
+++ b/packages/coordination/src/leases/shardLease.ts
@@ -8,7 +8,7 @@
  * not known to be acquired by another instance; `recovering`, acquired but not yet replayed;
  * `none`, not held.
  */
-export type ShardStanding = 'held' | 'lapsed' | 'none' | 'recovering' | 'releasing';
+export type ShardLeaseStatus = 'held' | 'lapsed' | 'none' | 'recovering' | 'releasing';
 
 /** Reason for a failed write of a shard's row: acquired by another holder, or outcome unknown. */
 export type ShardWriteFailure = 'lost' | 'unknown';
@@ -22,7 +22,7 @@
   /** Fencing token under which the shard is held. */
   readonly epoch: Epoch;
   /** Status of the lease. Must be checked again after every await; `none` is final. */
-  readonly standing: ShardStanding;
+  readonly status: ShardLeaseStatus;
   /** Writes the new location of the shard's state to its row. */
   commitState(state: ShardStateReference): Promise<Result<void, ShardWriteFailure>>;
 }
--- a/packages/coordination/src/leases/shardLeases.ts
+++ b/packages/coordination/src/leases/shardLeases.ts
@@ -5,7 +5,7 @@
 
 import type { ShardRow, ShardStateReference } from './leaseRows.js';
 import type { LeaseTerms } from './session.js';
-import type { ShardOwner, ShardStanding } from './shardLease.js';
+import type { ShardOwner, ShardLeaseStatus } from './shardLease.js';
 
 import { preferredHolder } from '../shards/shardMap.js';
 import { ExpiredSessionReaper } from './expiredSessionReaper.js';
@@ -85,8 +85,8 @@
   }
 
   /** Status of this instance's lease on a shard. Must be checked again after every await. */
-  public standing(shard: ShardId): ShardStanding {
-    return this.heldByShard.get(shard)?.standing ?? 'none';
+  public status(shard: ShardId): ShardLeaseStatus {
+    return this.heldByShard.get(shard)?.status ?? 'none';
   }
 
   /** Renews the session, then releases and acquires shards according to the eligible instances. */
@@ -239,10 +239,10 @@
   /** Retries until the row is written, as no one else can acquire it while this session is live. */
   private async handOverAndRelease(heldShard: HeldShard): Promise<void> {
     const state = await this.tryHandOver(heldShard);
-    while (heldShard.standing !== 'none') {
+    while (heldShard.status !== 'none') {
       const written = await heldShard.writeRelease(state);
       // A planned stop ends the session in any case, so the next holder does not depend on the row.
-      const isLeftToExpiry = this.isDraining && heldShard.standing === 'lapsed';
+      const isLeftToExpiry = this.isDraining && heldShard.status === 'lapsed';
       if (written.ok || written.val === 'lost' || isLeftToExpiry) {
         this.drop(heldShard);
         return;
--- a/packages/coordination/src/log/writeAheadLog.ts
+++ b/packages/coordination/src/log/writeAheadLog.ts
@@ -80,7 +80,7 @@
   }
 
   /** Whether new work may be started whose records will have to wait for the store. */
-  public get hasRoom(): boolean {
+  public get hasRoomForNewWork(): boolean {
     return this.pendingCount < this.options.maximumPending * NEW_WORK_SHARE;
   }
 
@@ -115,7 +115,7 @@
   }
 
   /** Waits until a record is durable; returns `undefined` if the store fails before that. */
-  public async storedOrStalled(
+  public async waitUntilStoredOrStalled(
     queued: QueuedRecord,
   ): Promise<Result<LogPosition, LogFailure> | undefined> {
     if (this.isStoreFailing) {
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -83,7 +83,7 @@
   }
 
   /** Records a heartbeat of a peer. */
-  public heard(heartbeat: Heartbeat): void {
+  public recordHeartbeat(heartbeat: Heartbeat): void {
     if (heartbeat.id === this.options.self) {
       return;
     }
@@ -105,7 +105,7 @@
   }
 
   /** Finds a peer by its name, provided that it is alive. */
-  public find(id: InstanceId): Peer | undefined {
+  public findAlive(id: InstanceId): Peer | undefined {
     return this.alive.find(peer => peer.id === id);
   }
 }
--- a/packages/coordination/tests/leases/leaseCluster.ts
+++ b/packages/coordination/tests/leases/leaseCluster.ts
@@ -126,8 +126,8 @@
   /** Names of the instances that serve a shard. */
   public holdersOf(shard: ShardId): readonly string[] {
     return this.nodes
-      .filter(node => !node.isDead)
-      .filter(node => ['held', 'releasing'].includes(node.leases.standing(shard)))
+      .filter(node => !node.isKilled)
+      .filter(node => ['held', 'releasing'].includes(node.leases.status(shard)))
       .map(node => node.name);
   }
 
--- a/packages/coordination/tests/leases/pausableNode.ts
+++ b/packages/coordination/tests/leases/pausableNode.ts
@@ -52,14 +52,15 @@
   public readonly objectFaults = new FaultSwitch(this.timers);
   public readonly table: TableService;
   public readonly objects: ObjectStore;
-  public isDead = false;
+  public isKilled = false;
   /** Delay of the answers of the platform. */
-  public answerMilliseconds = 0;
+  public answerDelayMilliseconds = 0;
   /** Scripted outcome of the next `count` writes of rows whose key has the prefix. */
-  public nextFate:
-    { readonly prefix: string; readonly fate: ScriptedOutcome; count: number } | undefined;
+  public nextWriteOutcome:
+    { readonly prefix: string; readonly outcome: ScriptedOutcome; count: number } | undefined;
   /** Pauses or kills the node after it has passed the given number of interruption points. */
-  public interruption: { moments: number; readonly action: 'kill' | 'pause' } | undefined;
+  public interruption:
+    { remainingInterruptionPoints: number; readonly action: 'kill' | 'pause' } | undefined;
   private paused: { readonly resumed: Promise<void>; readonly resume: () => void } | undefined;
 
   public constructor(
@@ -104,7 +105,7 @@
 
   /** Resumes the node unless it was killed. */
   public resume(): void {
-    if (this.isDead) {
+    if (this.isKilled) {
       return;
     }
     this.paused?.resume();
@@ -114,11 +115,11 @@
   /** Stops the node permanently, possibly in the middle of an operation. */
   public kill(): void {
     this.pause();
-    this.isDead = true;
+    this.isKilled = true;
   }
 
   /** Delays the outcome of a promise while the node is paused. */
-  public async gate<Value>(promise: Promise<Value>): Promise<Value> {
+  public async delayWhilePaused<Value>(promise: Promise<Value>): Promise<Value> {
     const value = await promise;
     await this.waitAtInterruptionPoint();
     return value;
@@ -137,7 +138,7 @@
   private applyScriptedOutcome(
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>> | undefined {
-    const { nextFate: scripted } = this;
+    const { nextWriteOutcome: scripted } = this;
     const isMatching = transaction.writes.some(write =>
       write.key.startsWith(scripted?.prefix ?? '-'),
     );
@@ -146,11 +147,11 @@
     }
     scripted.count--;
     if (scripted.count <= 0) {
-      this.nextFate = undefined;
+      this.nextWriteOutcome = undefined;
     }
-    if (scripted.fate === 'late') {
+    if (scripted.outcome === 'late') {
       this.platform.lateWrites.push(transaction);
-    } else if (scripted.fate === 'lost') {
+    } else if (scripted.outcome === 'lost') {
       this.platform.table.transact(transaction);
     }
     return Promise.resolve(Err(new PlatformError('outcome-unknown', 'the answer was lost')));
@@ -159,8 +160,8 @@
   private async forward<Value>(operation: () => Promise<Value>): Promise<Value> {
     await this.waitAtInterruptionPoint();
     const value = await operation();
-    if (this.answerMilliseconds > 0) {
-      await sleep(this.timers, this.answerMilliseconds);
+    if (this.answerDelayMilliseconds > 0) {
+      await sleep(this.timers, this.answerDelayMilliseconds);
     }
     await this.waitAtInterruptionPoint();
     return value;
@@ -168,7 +169,7 @@
 
   /** Carries out an interruption that is due, then waits while the node is paused. */
   private async waitAtInterruptionPoint(): Promise<void> {
-    if (this.interruption !== undefined && this.interruption.moments-- <= 0) {
+    if (this.interruption !== undefined && this.interruption.remainingInterruptionPoints-- <= 0) {
       const { action } = this.interruption;
       this.interruption = undefined;
       this[action]();
--- a/packages/coordination/tests/leases/session.test.ts
+++ b/packages/coordination/tests/leases/session.test.ts
@@ -26,7 +26,7 @@
       timers: node.timers,
     });
     expect(await session.renew()).toBe('renewed');
-    node.nextFate = { count: 1, fate: 'late', prefix: 'session/' };
+    node.nextWriteOutcome = { count: 1, outcome: 'late', prefix: 'session/' };
     expect(await session.renew()).toBe('unknown');
     expect(await session.renew()).toBe('renewed');
     expect(await session.renew()).toBe('renewed');
--- a/packages/coordination/tests/leases/shardLeases.test.ts
+++ b/packages/coordination/tests/leases/shardLeases.test.ts
@@ -19,7 +19,7 @@
       readonly kind: 'fail-owner' | 'outage' | 'pause' | 'replace' | 'resume';
       readonly node: number;
     }
-  | { readonly kind: 'fate'; readonly node: number; readonly next: LeaseNode['nextFate'] }
+  | { readonly kind: 'fate'; readonly node: number; readonly next: LeaseNode['nextWriteOutcome'] }
   | { readonly kind: 'heal' }
   | { readonly kind: 'see'; readonly node: number; readonly seen: readonly number[] }
   | { readonly kind: 'slow'; readonly node: number; readonly milliseconds: number }
@@ -54,7 +54,7 @@
       kind: fc.constant('fate' as const),
       next: fc.record({
         count: fc.integer({ max: 6, min: 1 }),
-        fate: fc.constantFrom('late', 'lost', 'refused' as const),
+        outcome: fc.constantFrom('late', 'lost', 'refused' as const),
         prefix: fc.constantFrom('shard/', 'session/'),
       }),
       node: nodeIndex,
@@ -84,8 +84,8 @@
   for (const each of cluster.nodes) {
     each.tableFaults.set({ errors: 0, latencyMilliseconds: 0, lostAnswers: 0, outage: 'none' });
     each.recoveryMilliseconds = 0;
-    each.answerMilliseconds = 0;
-    each.nextFate = undefined;
+    each.answerDelayMilliseconds = 0;
+    each.nextWriteOutcome = undefined;
     each.resume();
   }
 }
@@ -113,7 +113,7 @@
       target.tableFaults.set({ lostAnswers: step.count });
       return;
     case 'fate':
-      target.nextFate = step.next && { ...step.next };
+      target.nextWriteOutcome = step.next && { ...step.next };
       return;
     case 'fail-owner':
       target.remainingRecoveryFailures = 2;
@@ -137,7 +137,7 @@
     case 'slow':
       target.recoveryMilliseconds = step.milliseconds;
       target.tableFaults.set({ latencyMilliseconds: step.milliseconds });
-      target.answerMilliseconds = step.milliseconds;
+      target.answerDelayMilliseconds = step.milliseconds;
       return;
     case 'step-clock':
       target.timers.stepWallClock(step.milliseconds);
@@ -197,7 +197,7 @@
     first!.remainingHandoverFailures = SHARD_COUNT;
     first!.eligible = new Set([second!.name]);
     second!.eligible = new Set([second!.name]);
-    first!.nextFate = { count: 60, fate: 'refused', prefix: 'shard/' };
+    first!.nextWriteOutcome = { count: 60, outcome: 'refused', prefix: 'shard/' };
     await cluster.advance(3 * terms.termMilliseconds);
     for (let shard = 0; shard < SHARD_COUNT; shard++) {
       expect(cluster.holdersOf(shard as ShardId)).toEqual([second!.name]);
@@ -224,7 +224,7 @@
       const cluster = await createSettledPair();
       const [first] = cluster.nodes;
       const { incarnation } = first!.leases;
-      first!.nextFate = { count: 1, fate: 'late', prefix };
+      first!.nextWriteOutcome = { count: 1, outcome: 'late', prefix };
       await cluster.advance(4 * terms.termMilliseconds);
       expect(first!.leases.incarnation).toBe(incarnation);
       expect(cluster.isSettled).toBe(true);
@@ -237,9 +237,9 @@
       const cluster = new LeaseCluster([1, 1]);
       const [first, second] = cluster.nodes;
       second!.eligible = new Set([first!.name]);
-      first!.nextFate = { count: 1, fate: scriptedOutcome, prefix: 'shard/' };
+      first!.nextWriteOutcome = { count: 1, outcome: scriptedOutcome, prefix: 'shard/' };
       await cluster.advance(terms.renewMilliseconds + 50);
-      expect(first!.nextFate).toBeUndefined();
+      expect(first!.nextWriteOutcome).toBeUndefined();
       first!.eligible = new Set([second!.name]);
       second!.eligible = new Set([second!.name]);
       await cluster.advance(4 * terms.termMilliseconds);
@@ -253,7 +253,7 @@
     const cluster = await createSettledPair();
     const [first, second] = cluster.nodes;
     second!.eligible = new Set([second!.name]);
-    first!.answerMilliseconds = 4_800;
+    first!.answerDelayMilliseconds = 4_800;
     await cluster.advance(1_000);
     first!.tableFaults.set({ outage: 'refuse' });
     await cluster.advance(4 * terms.termMilliseconds);
@@ -299,7 +299,7 @@
   async function measureTakeover(cluster: LeaseCluster): Promise<number> {
     const [, second] = cluster.nodes;
     const countHeldShards = (): number =>
-      second!.leases.heldShards.filter(shard => second!.leases.standing(shard) === 'held').length;
+      second!.leases.heldShards.filter(shard => second!.leases.status(shard) === 'held').length;
     for (let elapsed = 0; ; elapsed += 50) {
       if (countHeldShards() === SHARD_COUNT || elapsed > 10 * terms.termMilliseconds) {
         return elapsed;
--- a/packages/instance/src/lifecycle/instance.ts
+++ b/packages/instance/src/lifecycle/instance.ts
@@ -228,7 +228,7 @@
   }
 
   private sweep(): void {
-    if (this.leases.standing(FIRST_SHARD) !== 'held') {
+    if (this.leases.status(FIRST_SHARD) !== 'held') {
       return;
     }
     this.leases.endAbandonedSessions().catch((failure: unknown) => {
@@ -394,12 +394,12 @@
 
   private findHolder(shard: ShardId): ShardHolder | undefined {
     const { settings } = this.parts;
-    if (this.leases.standing(shard) === 'held') {
+    if (this.leases.status(shard) === 'held') {
       return { address: settings.peerAddress, instance: settings.instance };
     }
     const holder =
       this.locations.holderOf(shard) ?? preferredHolder(shard, this.membership.eligible());
-    const peer = holder === undefined ? undefined : this.membership.find(holder as InstanceId);
+    const peer = holder === undefined ? undefined : this.membership.findAlive(holder as InstanceId);
     return peer === undefined ? undefined : { address: peer.address, instance: peer.id };
   }
 
@@ -409,7 +409,7 @@
       clients: this.clients,
       handoverWaitMilliseconds: settings.handoverWaitMilliseconds,
       home: this.home,
-      isHeldHere: shard => this.leases.standing(shard) !== 'none',
+      isHeldHere: shard => this.leases.status(shard) !== 'none',
       locations: this.locations,
       membership: this.membership,
       self: settings.instance,
--- a/packages/instance/src/limits/fleetAdmission.ts
+++ b/packages/instance/src/limits/fleetAdmission.ts
@@ -143,7 +143,7 @@
       // An instance that leaves holds its seats until it hands over, so it lends as well.
       lenders: () => membership.alive.map(({ id }) => id),
       loans: new PeerTokenBorrower({
-        addressOf: id => membership.find(id as InstanceId)?.address,
+        addressOf: id => membership.findAlive(id as InstanceId)?.address,
         clients,
         timeoutMilliseconds: BORROW_TIMEOUT_MILLISECONDS,
       }),
--- a/packages/instance/src/peers/heartbeats.ts
+++ b/packages/instance/src/peers/heartbeats.ts
@@ -134,7 +134,7 @@
   ): void {
     const id = message.instance as InstanceId;
     const known = this.options.membership.known.find(peer => peer.id === id);
-    this.options.membership.heard({
+    this.options.membership.recordHeartbeat({
       address: message.address,
       id,
       incarnation: message.incarnation as IncarnationId,
--- a/packages/instance/src/peers/routedProgramService.ts
+++ b/packages/instance/src/peers/routedProgramService.ts
@@ -144,7 +144,7 @@
       return home;
     }
     const holder = locations.holderOf(shard) ?? preferredHolder(shard, membership.eligible());
-    const peer = holder === undefined ? undefined : membership.find(holder as InstanceId);
+    const peer = holder === undefined ? undefined : membership.findAlive(holder as InstanceId);
     if (holder === self || peer === undefined) {
       return home;
     }
--- a/packages/instance/src/programs/homeShard.ts
+++ b/packages/instance/src/programs/homeShard.ts
@@ -2,7 +2,7 @@
 import type {
   QueuedRecord,
   ShardLease,
-  ShardStanding,
+  ShardLeaseStatus,
   ShardStateReference,
   WriteAheadLog,
 } from '@zincring/coordination';
@@ -75,8 +75,8 @@
   }
 
   /** How the lease stands. To be asked again after every wait. */
-  public get standing(): ShardStanding {
-    return this.options.lease.standing;
+  public get standing(): ShardLeaseStatus {
+    return this.options.lease.status;
   }
 
   /** Whether the shard takes no new work because it is handed over. */
@@ -91,13 +91,13 @@
 
   /** Whether the log has room for the turn of one more call. */
   public get hasRoom(): boolean {
-    return this.options.log.hasRoom;
+    return this.options.log.hasRoomForNewWork;
   }
 
   /** Applies a record if the log accepts it; a record that is refused leaves no trace. */
   public write(record: ProgramRecord): Result<WrittenRecord, ZincringError> {
     const { lease, log, programs } = this.options;
-    if (lease.standing === 'none' || lease.standing === 'recovering') {
+    if (lease.status === 'none' || lease.status === 'recovering') {
       return Err(new ZincringError('shard-unavailable', { ran: 'maybe' }));
     }
     const { epoch, shard } = lease;
@@ -114,7 +114,7 @@
 
   /** Waits until a record is durable, or until the store fails or the lease does. */
   public async settle(written: WrittenRecord): Promise<RecordOutcome> {
-    const stored = await this.options.log.storedOrStalled(written.queued);
+    const stored = await this.options.log.waitUntilStoredOrStalled(written.queued);
     if (stored === undefined) {
       return 'stalled';
     }
--- a/packages/instance/src/programs/programHome.ts
+++ b/packages/instance/src/programs/programHome.ts
@@ -136,7 +136,7 @@
     programs.startUnderNewHolder();
     const home = new HomeShard({ ...this.options, lease, programs, store: this.store });
     const reference = await home.createReference(false);
-    if (lease.standing === 'recovering') {
+    if (lease.status === 'recovering') {
       this.shards.set(lease.shard, home);
     }
     return reference;
--- a/packages/instance/tests/peers/routedProgramService.test.ts
+++ b/packages/instance/tests/peers/routedProgramService.test.ts
@@ -118,7 +118,7 @@
     suspectMilliseconds: 1e9,
     timers,
   });
-  membership.heard({
+  membership.recordHeartbeat({
     address: 'fake',
     id: 'entry-2' as never,
     incarnation: 'entry-2.1' as never,
--- a/packages/instance/tests/programs/callers.ts
+++ b/packages/instance/tests/programs/callers.ts
@@ -71,7 +71,7 @@
   private send(request: CallRequest, target: ProgramNode): void {
     const key = `${request.program}/${request.call}`;
     this.countAttempt(key, 1);
-    void target.gate(readEnd(target.home.call(request))).then(end => {
+    void target.delayWhilePaused(readEnd(target.home.call(request))).then(end => {
       if (end.kind === 'closed') {
         this.noteClosed(key, request, end);
       } else {
--- a/packages/instance/tests/programs/interruptedHome.test.ts
+++ b/packages/instance/tests/programs/interruptedHome.test.ts
@@ -32,9 +32,9 @@
         await cluster.advance(200);
       }
       first.dispatcher.latencyMilliseconds = 100;
-      first.answerMilliseconds = each.answerMilliseconds;
+      first.answerDelayMilliseconds = each.answerMilliseconds;
       callers.call(PROGRAM, first, { ahead: 1, isBranch: false, isEffect: each.isEffect });
-      first.interruption = { action: each.action, moments: each.moment };
+      first.interruption = { action: each.action, remainingInterruptionPoints: each.moment };
       await cluster.advance(3_000);
       second.eligible = new Set([second.name]);
       await cluster.advance(2 * terms.termMilliseconds);
--- a/packages/instance/tests/programs/programCluster.ts
+++ b/packages/instance/tests/programs/programCluster.ts
@@ -67,7 +67,7 @@
   ) {}
 
   public async *dispatch(work: UpstreamWork): AsyncGenerator<UpstreamFrame> {
-    const prepared = await this.node.gate(work.beforeSend());
+    const prepared = await this.node.delayWhilePaused(work.beforeSend());
     if (prepared.err) {
       yield { error: prepared.val, kind: 'failed' };
       return;
@@ -79,7 +79,7 @@
     const key = `${String(work.program)}/${work.call}`;
     this.counters.executions.set(key, (this.counters.executions.get(key) ?? 0) + 1);
     const usage = this.count(work);
-    await this.node.gate(sleep(this.node.timers, this.latencyMilliseconds));
+    await this.node.delayWhilePaused(sleep(this.node.timers, this.latencyMilliseconds));
     if (this.reaction === 'break') {
       yield { error: new ZincringError('upstream-failed'), kind: 'failed' };
       return;
@@ -193,7 +193,7 @@
 
   /** How the instance believes to stand to the shard of a program. */
   public standingOf(program: ProgramId): string {
-    return this.isDead ? 'none' : this.leases.standing(shardOf(program, SHARD_COUNT));
+    return this.isKilled ? 'none' : this.leases.status(shardOf(program, SHARD_COUNT));
   }
 }
 
@@ -223,7 +223,7 @@
 
   /** Every instance sees all that are alive. */
   public healMembership(): void {
-    const alive = this.nodes.filter(node => !node.isDead).map(node => node.name);
+    const alive = this.nodes.filter(node => !node.isKilled).map(node => node.name);
     for (const node of this.nodes) {
       node.eligible = new Set(alive);
     }
@@ -236,8 +236,8 @@
       const none = { errors: 0, latencyMilliseconds: 0, lostAnswers: 0, outage: 'none' } as const;
       node.tableFaults.set(none);
       node.objectFaults.set(none);
-      node.answerMilliseconds = 0;
-      node.nextFate = undefined;
+      node.answerDelayMilliseconds = 0;
+      node.nextWriteOutcome = undefined;
       node.interruption = undefined;
       node.dispatcher.reaction = 'answer';
       node.dispatcher.latencyMilliseconds = 0;
--- a/packages/instance/tests/programs/programFaults.test.ts
+++ b/packages/instance/tests/programs/programFaults.test.ts
@@ -104,13 +104,13 @@
       target.objectFaults.set({ errors: 2 });
       return;
     case 'late-shard':
-      target.nextFate = { count: 1, fate: 'late', prefix: 'shard/' };
+      target.nextWriteOutcome = { count: 1, outcome: 'late', prefix: 'shard/' };
       return;
     case 'lost-objects':
       target.objectFaults.set({ lostAnswers: 3 });
       return;
     case 'lost-shard':
-      target.nextFate = { count: 5, fate: 'lost', prefix: 'shard/' };
+      target.nextWriteOutcome = { count: 5, outcome: 'lost', prefix: 'shard/' };
       return;
     case 'objects-out':
       target.objectFaults.set({ outage: 'refuse' });
@@ -119,10 +119,10 @@
       target.tableFaults.set({ outage: 'refuse' });
       return;
     case 'interrupt-kill':
-      target.interruption = { action: 'kill', moments: 3 };
+      target.interruption = { action: 'kill', remainingInterruptionPoints: 3 };
       return;
     case 'interrupt-pause':
-      target.interruption = { action: 'pause', moments: 3 };
+      target.interruption = { action: 'pause', remainingInterruptionPoints: 3 };
       return;
     case 'pause':
       target.pause();
@@ -137,7 +137,7 @@
       target.eligible = new Set([target.name]);
       return;
     case 'slow':
-      target.answerMilliseconds = 700;
+      target.answerDelayMilliseconds = 700;
       return;
     case 'upstream-break':
       target.dispatcher.reaction = 'break';
