--- a/packages/gateway/src/callers/answerSink.ts
+++ b/packages/gateway/src/callers/answerSink.ts
@@ -1,22 +1,25 @@
-/** Where the answer to one request goes. Headers are flat lists of names and values. */
+/** Destination of the response to one request. Header lists are flat: name, value, name, value. */
 export interface AnswerSink {
-  /** Whether any of the answer was handed over. */
+  /** Whether the head of the response has been written. */
   readonly isStarted: boolean;
-  /** Hands over a whole answer. */
+  /** Sends a complete response. */
   sendWhole(status: number, headers: readonly string[], body: Buffer): void;
-  /** Begins an answer whose body comes in pieces. */
+  /** Starts a response whose body follows in chunks. */
   open(status: number, headers: readonly string[]): void;
-  /** Hands over a piece and waits while the caller is slow to read. */
+  /** Writes a chunk of the body and waits while the caller is slow to read. */
   write(bytes: Buffer): Promise<void>;
-  /** Ends a body that is complete. */
+  /** Ends a complete body. */
   end(): void;
-  /** Breaks the answer off so that it cannot look complete. */
-  cut(): void;
+  /** Closes the connection, which the caller recognizes as an incomplete response. */
+  abort(): void;
 }
 
-/** Sees the events of a stream as they are handed over. */
+/** Observes the events of a stream as they are forwarded to the caller. */
 export interface StreamObserver {
   onEvent(data: Buffer): void;
-  /** Called when the stream is complete, before the caller learns it; `false` breaks it off. */
+  /**
+   * Called once the stream is complete, before the end of the body is written; `false` leaves the
+   * response incomplete.
+   */
   beforeEnd(): Promise<boolean>;
 }
--- a/packages/gateway/src/callers/callerAnswer.ts
+++ b/packages/gateway/src/callers/callerResponse.ts
@@ -4,19 +4,19 @@
 
 import { withoutFields } from '../util/headerList.js';
 
-/** Written anew: the framing of the answer is this instance's own. */
-const LENGTH: ReadonlySet<string> = new Set(['content-length']);
+/** Headers that are replaced, since this instance frames the response itself. */
+const FRAMING_FIELDS: ReadonlySet<string> = new Set(['content-length']);
 
 /**
- * The answer to a caller over Node's server.
+ * Writes the response to a caller through Node's HTTP server.
  *
  * @example
- * new CallerAnswer(response, () => isStopping).sendWhole(200, headers, body);
+ * new CallerResponse(response, () => isStopping).sendWhole(200, headers, body);
  */
-export class CallerAnswer implements AnswerSink {
+export class CallerResponse implements AnswerSink {
   public constructor(
     private readonly response: ServerResponse,
-    private readonly closesConnection: () => boolean,
+    private readonly shouldCloseConnection: () => boolean,
   ) {}
 
   public get isStarted(): boolean {
@@ -26,12 +26,16 @@
   public sendWhole(status: number, headers: readonly string[], body: Buffer): void {
     const hasBody = status !== 204 && status !== 304;
     const length = hasBody ? ['Content-Length', String(body.length)] : [];
-    this.writeHead(status, [...withoutFields(headers, LENGTH), ...length]);
+    this.writeHead(status, [...withoutFields(headers, FRAMING_FIELDS), ...length]);
     this.response.end(hasBody ? body : undefined);
   }
 
   public open(status: number, headers: readonly string[]): void {
-    this.writeHead(status, [...withoutFields(headers, LENGTH), 'Transfer-Encoding', 'chunked']);
+    this.writeHead(status, [
+      ...withoutFields(headers, FRAMING_FIELDS),
+      'Transfer-Encoding',
+      'chunked',
+    ]);
   }
 
   public async write(bytes: Buffer): Promise<void> {
@@ -53,12 +57,12 @@
     this.response.end();
   }
 
-  public cut(): void {
+  public abort(): void {
     this.response.destroy();
   }
 
   private writeHead(status: number, headers: string[]): void {
-    const connection = this.closesConnection() ? ['Connection', 'close'] : [];
+    const connection = this.shouldCloseConnection() ? ['Connection', 'close'] : [];
     this.response.writeHead(status, [...headers, ...connection]);
   }
 }
--- a/packages/gateway/src/callers/eventSplitter.ts
+++ b/packages/gateway/src/callers/eventSplitter.ts
@@ -1,9 +1,9 @@
-/** One whole event of a stream. */
+/** One complete event of a server-sent event stream. */
 export interface StreamEvent {
-  /** The bytes of the event, its closing blank line included. */
+  /** Bytes of the event, including its closing blank line. */
   readonly bytes: Buffer;
   readonly id: string | undefined;
-  /** The text of the data lines, joined by line feeds. */
+  /** Values of the data lines, joined by line feeds. */
   readonly data: Buffer;
 }
 
@@ -11,49 +11,50 @@
 const CARRIAGE_RETURN = 0x0d;
 
 /**
- * Cuts an event stream into whole events, whatever the chunks in which it arrives.
+ * Splits a server-sent event stream into complete events, independently of the chunks in which it
+ * arrives.
  *
  * @example
  * for (const event of splitter.push(chunk)) { forward(event.bytes); }
  */
 export class EventSplitter {
   private pending: Buffer = Buffer.alloc(0);
-  /** Where the line that is not yet complete begins. */
+  /** Offset of the first byte of the incomplete line. */
   private lineStart = 0;
-  private scanned = 0;
+  private scannedBytes = 0;
 
-  /** Bytes of an event that is not yet complete. */
+  /** Number of buffered bytes of the incomplete event. */
   public get pendingBytes(): number {
     return this.pending.length;
   }
 
-  /** Takes in a chunk and returns the events that it completes. */
+  /** Adds a chunk and returns the events that it completes. */
   public push(chunk: Buffer): StreamEvent[] {
     this.pending = this.pending.length === 0 ? chunk : Buffer.concat([this.pending, chunk]);
     const events: StreamEvent[] = [];
-    for (let end = this.findEnd(); end !== undefined; end = this.findEnd()) {
+    for (let end = this.findEventEnd(); end !== undefined; end = this.findEventEnd()) {
       events.push(parseEvent(this.pending.subarray(0, end)));
       this.pending = this.pending.subarray(end);
       this.lineStart = 0;
-      this.scanned = 0;
+      this.scannedBytes = 0;
     }
     return events;
   }
 
-  private findEnd(): number | undefined {
+  private findEventEnd(): number | undefined {
     for (;;) {
-      const feed = this.pending.indexOf(LINE_FEED, this.scanned);
-      if (feed === -1) {
-        this.scanned = this.pending.length;
+      const lineEnd = this.pending.indexOf(LINE_FEED, this.scannedBytes);
+      if (lineEnd === -1) {
+        this.scannedBytes = this.pending.length;
         return undefined;
       }
-      const length = feed - this.lineStart;
+      const lineLength = lineEnd - this.lineStart;
       const isBlank =
-        length === 0 || (length === 1 && this.pending[this.lineStart] === CARRIAGE_RETURN);
-      this.lineStart = feed + 1;
-      this.scanned = feed + 1;
+        lineLength === 0 || (lineLength === 1 && this.pending[this.lineStart] === CARRIAGE_RETURN);
+      this.lineStart = lineEnd + 1;
+      this.scannedBytes = lineEnd + 1;
       if (isBlank) {
-        return feed + 1;
+        return lineEnd + 1;
       }
     }
   }
@@ -64,10 +65,10 @@
   const data: Buffer[] = [];
   let start = 0;
   while (start < bytes.length) {
-    const feed = bytes.indexOf(LINE_FEED, start);
-    const line = trimReturn(bytes.subarray(start, feed));
-    start = feed + 1;
-    const field = fieldOf(line);
+    const lineEnd = bytes.indexOf(LINE_FEED, start);
+    const line = trimCarriageReturn(bytes.subarray(start, lineEnd));
+    start = lineEnd + 1;
+    const field = parseField(line);
     if (field?.name === 'id') {
       id = field.value.toString();
     } else if (field?.name === 'data') {
@@ -77,11 +78,11 @@
   return { bytes, data: joinLines(data), id };
 }
 
-function trimReturn(line: Buffer): Buffer {
+function trimCarriageReturn(line: Buffer): Buffer {
   return line.at(-1) === CARRIAGE_RETURN ? line.subarray(0, -1) : line;
 }
 
-function fieldOf(line: Buffer): { readonly name: string; readonly value: Buffer } | undefined {
+function parseField(line: Buffer): { readonly name: string; readonly value: Buffer } | undefined {
   const colon = line.indexOf(':');
   if (colon <= 0) {
     return undefined;
--- a/packages/gateway/src/callers/gatewayServer.ts
+++ b/packages/gateway/src/callers/gatewayServer.ts
@@ -12,134 +12,146 @@
 
 import { failureText } from '@zincring/core';
 
-import { CallerAnswer } from './callerAnswer.js';
+import { CallerResponse } from './callerResponse.js';
 import { listenOn, portOf } from '../util/listen.js';
 import { readRequestBody } from './readRequestBody.js';
 
-/** What a {@link GatewayServer} works with. */
-export interface GatewayServerParts {
+/** Dependencies of a {@link GatewayServer}. */
+export interface GatewayServerDependencies {
   readonly pipeline: RequestPipeline;
-  readonly wire: RequestWire;
+  readonly headerCodec: RequestWire;
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** Whether callers are served here; otherwise their connections are closed after each answer. */
-  readonly isInTouch: () => boolean;
-  readonly rotation: RotationWatch;
+  /**
+   * Whether the store has answered recently. Without contact, each connection is closed after its
+   * response.
+   */
+  readonly hasStoreContact: () => boolean;
+  readonly zoneOutageDetector: RotationWatch;
 }
 
-/** Largest headers that the server can be told to accept, in bytes; the operator's limit is checked beside it. */
-const HEADER_BYTES = 65_536;
-/** Longer than callers use an idle connection, so that they are not cut off, in milliseconds. */
-const IDLE_MARGIN_MILLISECONDS = 2_000;
-/** Pause between looks for idle connections during a stop, in milliseconds. */
-const CLOSE_IDLE_MILLISECONDS = 100;
+/** Maximum size of request headers that Node's parser accepts, in bytes. The operator's limit is checked separately. */
+const MAXIMUM_PARSED_HEADER_BYTES = 65_536;
+/**
+ * Time that idle connections stay open beyond the configured idle timeout, in milliseconds, so that
+ * a connection is not closed while a caller still reuses it.
+ */
+const KEEP_ALIVE_MARGIN_MILLISECONDS = 2_000;
+/** Interval at which idle connections are closed during shutdown, in milliseconds. */
+const CLOSE_IDLE_INTERVAL_MILLISECONDS = 100;
 
 /**
- * The HTTP server that callers reach.
+ * HTTP server for callers.
  *
  * @example
- * const server = new GatewayServer(parts);
+ * const server = new GatewayServer(dependencies);
  * await server.listen({ host: '10.1.0.11', port: 8368 });
  */
 export class GatewayServer {
   private readonly server: Server;
   private isClosing = false;
-  private requestsUnderWay = 0;
-  private maximumHeaderBytes = HEADER_BYTES;
+  private inFlightCount = 0;
+  private maximumHeaderBytes = MAXIMUM_PARSED_HEADER_BYTES;
 
-  public constructor(private readonly parts: GatewayServerParts) {
+  public constructor(private readonly dependencies: GatewayServerDependencies) {
     this.server = createServer(
-      { keepAlive: true, maxHeaderSize: HEADER_BYTES, noDelay: true },
+      { keepAlive: true, maxHeaderSize: MAXIMUM_PARSED_HEADER_BYTES, noDelay: true },
       (request, response) => {
-        this.take(request, response);
+        this.handleRequest(request, response);
       },
     );
     this.server.on('connection', () => {
-      parts.rotation.noteConnection();
+      dependencies.zoneOutageDetector.noteConnection();
     });
     this.server.on('clientError', (failure: Error, socket) => {
-      this.refuseMalformed(failure, socket);
+      this.refuseMalformedRequest(failure, socket);
     });
   }
 
-  /** Number of requests that have no whole answer yet. */
-  public get underWay(): number {
-    return this.requestsUnderWay;
+  /** Number of requests whose response is not complete. */
+  public get requestsInFlight(): number {
+    return this.inFlightCount;
   }
 
-  /** Listens; the port 0 takes any. */
+  /** Starts to listen; port 0 selects any free port. */
   public async listen(address: ListenAddress): Promise<void> {
     await listenOn(this.server, address);
   }
 
-  /** The port that the server listens on. */
+  /** Port that the server listens on. */
   public get port(): number {
     return portOf(this.server);
   }
 
-  /** Applies the operator's bounds to connections. */
+  /** Applies the operator's limits on headers and idle connections. */
   public applyLimits(limits: CallerLimits): void {
     this.maximumHeaderBytes = limits.maximumHeaderBytes;
-    this.server.keepAliveTimeout = limits.idleTimeoutMilliseconds + IDLE_MARGIN_MILLISECONDS;
+    this.server.keepAliveTimeout = limits.idleTimeoutMilliseconds + KEEP_ALIVE_MARGIN_MILLISECONDS;
     this.server.headersTimeout = limits.headerTimeoutMilliseconds;
   }
 
-  /** Tells callers with each answer that their connection ends. */
+  /** Adds `Connection: close` to all further responses. */
   public announceClose(): void {
     this.isClosing = true;
   }
 
-  /** Stops listening and waits until every request has its answer, up to a limit. */
-  public async close(limitMilliseconds: number): Promise<void> {
+  /** Stops listening and waits until all responses are complete or the timeout has passed. */
+  public async close(timeoutMilliseconds: number): Promise<void> {
     this.announceClose();
     const closed = new Promise<void>(resolve => {
       this.server.close(() => {
         resolve();
       });
     });
-    const idle = this.parts.timers.every(CLOSE_IDLE_MILLISECONDS, () => {
-      this.server.closeIdleConnections();
-    });
-    const limit = new Promise<void>(resolve => {
-      this.parts.timers.after(limitMilliseconds, resolve);
+    const idleConnectionTimer = this.dependencies.timers.every(
+      CLOSE_IDLE_INTERVAL_MILLISECONDS,
+      () => {
+        this.server.closeIdleConnections();
+      },
+    );
+    const timeout = new Promise<void>(resolve => {
+      this.dependencies.timers.after(timeoutMilliseconds, resolve);
     });
-    await Promise.race([closed, limit]);
-    idle.stop();
+    await Promise.race([closed, timeout]);
+    idleConnectionTimer.stop();
   }
 
-  private take(request: IncomingMessage, response: ServerResponse): void {
-    const answer = new CallerAnswer(response, () => this.isClosing || !this.parts.isInTouch());
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
+    const callerResponse = new CallerResponse(
+      response,
+      () => this.isClosing || !this.dependencies.hasStoreContact(),
+    );
     request.on('error', () => undefined);
     response.on('error', () => undefined);
-    this.requestsUnderWay++;
+    this.inFlightCount++;
     response.once('close', () => {
-      this.requestsUnderWay--;
+      this.inFlightCount--;
     });
-    const incoming = this.toIncoming(request, response);
-    if (headerBytes(request.rawHeaders) > this.maximumHeaderBytes) {
-      answer.sendWhole(431, ['Connection', 'close'], Buffer.alloc(0));
+    const incoming = this.toIncomingRequest(request, response);
+    if (countHeaderBytes(request.rawHeaders) > this.maximumHeaderBytes) {
+      callerResponse.sendWhole(431, ['Connection', 'close'], Buffer.alloc(0));
       return;
     }
-    this.parts.pipeline.handle(incoming, answer).catch((failure: unknown) => {
-      this.parts.logger.error(
+    this.dependencies.pipeline.handle(incoming, callerResponse).catch((failure: unknown) => {
+      this.dependencies.logger.error(
         {
           event: 'request-fault',
           failure: failureText(failure),
           request: incoming.facts.requestId,
         },
-        'a request met an unexpected fault',
+        'unexpected error while handling a request',
       );
-      answer.cut();
+      callerResponse.abort();
     });
   }
 
-  private toIncoming(request: IncomingMessage, response: ServerResponse): IncomingRequest {
+  private toIncomingRequest(request: IncomingMessage, response: ServerResponse): IncomingRequest {
     return {
-      facts: this.parts.wire.readFacts(request.rawHeaders),
+      facts: this.dependencies.headerCodec.readFacts(request.rawHeaders),
       headers: request.rawHeaders,
       host: request.headers.host ?? '',
       method: request.method ?? 'GET',
-      onCallerLeft: listener => {
+      onCallerDisconnected: listener => {
         response.once('close', () => {
           if (!response.writableFinished) {
             listener();
@@ -148,32 +160,32 @@
       },
       path: request.url ?? '/',
       readBody: async maximumBytes => await readRequestBody(request, maximumBytes),
-      receivedAt: this.parts.timers.now(),
+      receivedAt: this.dependencies.timers.now(),
     };
   }
 
-  private refuseMalformed(failure: Error, socket: Duplex): void {
+  private refuseMalformedRequest(failure: Error, socket: Duplex): void {
     const { code } = failure as { readonly code?: string };
-    this.parts.logger.info(
+    this.dependencies.logger.info(
       { event: 'malformed-request', failure: code ?? failure.message },
-      'a connection sent no valid request',
+      'connection sent a malformed request',
     );
     if (!socket.writable || code === 'ECONNRESET') {
       socket.destroy();
       return;
     }
-    const status = statusOfMalformed(code);
+    const status = statusLineForParseError(code);
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   }
 }
 
-function statusOfMalformed(code: string | undefined): string {
+function statusLineForParseError(code: string | undefined): string {
   if (code === 'HPE_HEADER_OVERFLOW') {
     return '431 Request Header Fields Too Large';
   }
   return code === 'ERR_HTTP_REQUEST_TIMEOUT' ? '408 Request Timeout' : '400 Bad Request';
 }
 
-function headerBytes(headers: readonly string[]): number {
+function countHeaderBytes(headers: readonly string[]): number {
   return headers.reduce((sum, text) => sum + text.length + 2, 0);
 }
--- a/packages/gateway/src/callers/readRequestBody.ts
+++ b/packages/gateway/src/callers/readRequestBody.ts
@@ -6,9 +6,9 @@
 import { readWithin } from '../util/readWithin.js';
 
 /**
- * Reads the body of a request to its end.
+ * Reads the complete body of a request.
  *
- * @returns `undefined` when the caller broke off
+ * @returns `undefined` if the caller disconnected before the end of the body
  * @example
  * const body = await readRequestBody(request, 4_194_304);
  */
--- a/packages/gateway/src/callers/requestFacts.ts
+++ b/packages/gateway/src/callers/requestFacts.ts
@@ -1,75 +1,83 @@
 import type { Brand, ProgramId, WorkspaceName } from '@zincring/core';
 
-/** Identifier of one attempt of a caller. */
+/** Identifier of one attempt by a caller; a repeated request has another one. */
 export type RequestId = Brand<string, 'RequestId'>;
-/** Identifier of a kept turn: the request id of the attempt that it ended with. */
+/** Identifier of a stored turn: the id of the request that completed it. */
 export type TurnId = Brand<string, 'TurnId'>;
-/** One line of turns of a program. */
+/** Identifier of one sequence of turns within a program. */
 export type SessionId = Brand<string, 'SessionId'>;
-/** Part of a prompt that requests may share. */
+/** Identifier of a part of a prompt that several requests may share. */
 export type PromptPartId = Brand<string, 'PromptPartId'>;
 
-/** One part of a prompt, in order. */
+/** One part of a prompt. */
 export interface PromptPart {
   readonly id: PromptPartId;
   readonly tokens: number;
 }
 
-/** What a caller says of a request, decoded from its headers. */
+/** Properties of a request that are decoded from its headers. */
 export interface RequestFacts {
   readonly requestId: RequestId | undefined;
+  /** API key, which identifies the workspace. */
   readonly key: string | undefined;
-  /** How long the caller will wait, in milliseconds. */
+  /** Time that the caller will wait for the response, in milliseconds. */
   readonly remainingMilliseconds: number | undefined;
   readonly programId: ProgramId | undefined;
   readonly sessionId: SessionId | undefined;
-  /** Time until the whole program should have ended, in milliseconds. */
+  /** Time until the program should have ended, in milliseconds. */
   readonly programRemainingMilliseconds: number | undefined;
-  /** Tokens that all turns of the program may generate. */
+  /** Maximum number of tokens that all turns of the program may generate together. */
   readonly tokenBudget: number | undefined;
+  /** Length of the prompt, in tokens. */
   readonly promptTokens: number | undefined;
-  /** Tokens that this turn generates at most. */
+  /** Maximum number of tokens that this turn generates. */
   readonly maximumOutputTokens: number | undefined;
+  /** Parts of the prompt, in order. */
   readonly promptParts: readonly PromptPart[];
-  /** Event after which an interrupted stream goes on. */
+  /** Id of the event after which an interrupted stream resumes. */
   readonly lastEventId: string | undefined;
+  /** Stored turn that this request continues. */
   readonly previousTurn: TurnId | undefined;
-  /** Object that the request concerns. */
+  /** Key of the object that the request is about, by which sticky routes choose a replica. */
   readonly affinityKey: string | undefined;
 }
 
-/** What the system tells a replica with one attempt. */
+/** Values that are sent to a replica in the headers of one attempt. */
 export interface SendingFacts {
+  /** Replica that the attempt is meant for; another one at the same address refuses it. */
   readonly replicaId: string;
   readonly workspace: WorkspaceName | undefined;
+  /** Time until the deadline of the request, in milliseconds. */
   readonly remainingMilliseconds: number;
-  /** From 0, the most urgent, to 9; absent for plain services. */
+  /** Rank from 0 (most urgent) to 9; absent for services without engines. */
   readonly urgency: number | undefined;
   readonly lastEventId: string | undefined;
-  /** Length of the body; absent when there is none. */
+  /** Length of the body, in bytes; absent for requests without a body. */
   readonly contentLength: number | undefined;
 }
 
-/** What a replica's answer says beside its status and body. */
+/** Properties of a replica's response that are decoded from its status and headers. */
 export interface AnswerFacts {
-  /** The request that it answers; absent when it does not say. */
+  /** Id of the request that it responds to, if it contains one. */
   readonly requestId: string | undefined;
-  /** Whether it promises that the request did not run. */
+  /** Whether the replica guarantees that it did not run the request. */
   readonly isNotExecuted: boolean;
-  /** Whether it bears the replica's seal; an answer without one came from something else. */
+  /** Whether it has the stamp that replicas add; a response without it came from another server. */
   readonly isSealed: boolean;
-  /** Whether the body is encoded, which no replica does. */
+  /** Whether the body has a content encoding, which replicas never apply. */
   readonly isEncoded: boolean;
 }
 
-/** The headers of callers and replicas; header lists are flat: name, value, name, value. */
+/** Reads and writes the headers of callers and replicas. Header lists are flat: name, value, name, value. */
 export interface RequestWire {
+  /** Decodes the headers of a request. */
   readFacts(headers: readonly string[]): RequestFacts;
-  /** Headers of one attempt at a replica. */
+  /** Headers of one attempt at a replica, made from the caller's headers. */
   toReplicaHeaders(headers: readonly string[], sending: SendingFacts): string[];
+  /** Decodes the status and headers of a replica's response. */
   readAnswer(status: number, headers: readonly string[]): AnswerFacts;
-  /** Headers of a replica's answer, as the caller gets them. */
+  /** Headers for the caller, made from those of a replica's response. */
   toCallerHeaders(headers: readonly string[]): string[];
-  /** Headers of an answer of the system's own. */
+  /** Headers of an error response that is generated by this instance. */
   ownHeaders(requestId: RequestId | undefined, retryAfterSeconds: number | undefined): string[];
 }
--- a/packages/gateway/src/callers/requestPipeline.ts
+++ b/packages/gateway/src/callers/requestPipeline.ts
@@ -20,36 +20,36 @@
 
 import { AttemptLoop } from '../upstreams/attemptLoop.js';
 import { TurnRecorder } from '../programs/turnRecorder.js';
-import { RequestWatch } from './requestWatch.js';
+import { RequestLifetime } from './requestLifetime.js';
 
-/** A request as it was read from its connection. */
+/** A request whose headers were read from its connection. */
 export interface IncomingRequest {
   readonly method: string;
-  /** Path and query, as sent. */
+  /** Path and query as the caller sent them. */
   readonly path: string;
   readonly host: string;
   /** Flat list of names and values. */
   readonly headers: readonly string[];
   readonly facts: RequestFacts;
-  /** When its headers had arrived, by the steady clock. */
+  /** Time at which its headers had arrived, on the monotonic clock in milliseconds. */
   readonly receivedAt: number;
-  /** Reads the body; `undefined` when the caller broke off. */
+  /** Reads the body; `undefined` if the caller disconnected before its end. */
   readBody(maximumBytes: number): Promise<Result<Buffer, ZincringError> | undefined>;
-  /** Calls the listener once the caller has closed its connection. */
-  onCallerLeft(listener: () => void): void;
+  /** Calls the listener if the caller closes its connection before the response is complete. */
+  onCallerDisconnected(listener: () => void): void;
 }
 
-/** What a {@link RequestPipeline} works with. */
-export interface PipelineParts extends AttemptParts {
+/** Dependencies of a {@link RequestPipeline}. */
+export interface RequestPipelineDependencies extends AttemptParts {
   readonly configuration: ConfigurationFollower;
   readonly rates: WorkspaceRates;
   readonly metrics: GatewayMetrics;
   readonly budgets: TurnBudgets;
   readonly keptTurns: KeptTurns;
-  readonly rotation: RotationWatch;
+  readonly zoneOutageDetector: RotationWatch;
 }
 
-/** Where a request may go and for whom. */
+/** Route, service and workspace of an admitted request. */
 interface Admission {
   readonly route: GatewayRoute;
   readonly service: GatewayService;
@@ -57,45 +57,46 @@
   readonly maximumBodyBytes: number;
 }
 
-/** A request with its history and the tokens that it may hand over. */
+/** A request with its history and its token reservation. */
 interface PreparedTurn {
   readonly request: RunnableRequest;
   readonly draft: KeptTurnDraft | undefined;
   readonly reservation: BudgetReservation | undefined;
 }
 
-/** How long a request waits for a fresh look at the configuration, in milliseconds: a few answers of the store. */
-const REFRESH_WAIT_MILLISECONDS = 150;
-/** When a caller may come back to an instance without a current configuration, in seconds: other instances may have one. */
-const STALE_RETRY_SECONDS = 0.03;
-/** Urgency of requests at engines when the operator ranks them first; the engines' scale ends at 9. */
-const FIRST_URGENCY = 1;
-const LAST_URGENCY = 9;
+/** Maximum time that a request waits for a refresh of the configuration, in milliseconds: a few round trips to the store. */
+const MAXIMUM_REFRESH_WAIT_MILLISECONDS = 150;
+/** Retry-After of an instance without a current configuration, in seconds: short, since another instance may have one. */
+const STALE_CONFIGURATION_RETRY_SECONDS = 0.03;
+/** Urgency at engines of requests with priority 0, the operator's highest. */
+const HIGHEST_PRIORITY_URGENCY = 1;
+/** Least urgent value of the engines' scale, which starts at 0. */
+const LEAST_URGENT = 9;
 
 /**
- * Takes a request from its headers to its answer: route, key, rate, history and budget, then the
- * replicas. Every step may refuse, and a refusal is final and immediate.
+ * Handles a request from its headers to its response: route, key, rate, history and token budget,
+ * then the attempts at replicas. Each step may refuse the request, which ends it immediately.
  *
  * @example
- * await pipeline.handle(incoming, answer);
+ * await pipeline.handle(incoming, sink);
  */
 export class RequestPipeline {
   private readonly timers: TimerService;
   private readonly logger: Logger;
 
-  public constructor(private readonly parts: PipelineParts) {
-    this.timers = parts.timers;
-    this.logger = parts.logger;
+  public constructor(private readonly dependencies: RequestPipelineDependencies) {
+    this.timers = dependencies.timers;
+    this.logger = dependencies.logger;
   }
 
-  /** Answers one request. */
+  /** Handles one request and writes its response to the sink. */
   public async handle(incoming: IncomingRequest, sink: AnswerSink): Promise<void> {
     const admission = await this.admit(incoming);
     const body = await incoming.readBody(
       admission.ok ? admission.val.maximumBodyBytes : Number.MAX_SAFE_INTEGER,
     );
     if (body === undefined) {
-      sink.cut();
+      sink.abort();
       return;
     }
     if (admission.err) {
@@ -106,22 +107,24 @@
       this.refuse(incoming, sink, body.val);
       return;
     }
-    const watch = new RequestWatch(this.timers, incoming, admission.val.route);
+    const lifetime = new RequestLifetime(this.timers, incoming, admission.val.route);
     try {
-      const outcome = await this.serve(incoming, admission.val, body.val, sink, watch);
-      this.finish(incoming, sink, watch, outcome);
+      const outcome = await this.serve(incoming, admission.val, body.val, sink, lifetime);
+      this.finish(incoming, sink, lifetime, outcome);
     } finally {
-      watch.stop();
+      lifetime.stop();
     }
   }
 
   private async admit(incoming: IncomingRequest): Promise<Result<Admission, ZincringError>> {
-    const { configuration } = this.parts;
+    const { configuration } = this.dependencies;
     const isFresh = configuration.isFresh() || (await this.refreshConfiguration());
     const index = configuration.current;
     if (index === undefined) {
       return Err(
-        new ZincringError('instance-not-ready', { retryAfterSeconds: STALE_RETRY_SECONDS }),
+        new ZincringError('instance-not-ready', {
+          retryAfterSeconds: STALE_CONFIGURATION_RETRY_SECONDS,
+        }),
       );
     }
     const admitted = admitByConfiguration(index, incoming);
@@ -131,13 +134,13 @@
     return Err(
       new ZincringError('instance-not-ready', {
         detail: 'the configuration is not known to be current',
-        retryAfterSeconds: STALE_RETRY_SECONDS,
+        retryAfterSeconds: STALE_CONFIGURATION_RETRY_SECONDS,
       }),
     );
   }
 
   private async refreshConfiguration(): Promise<boolean> {
-    return await this.parts.configuration.refresh(REFRESH_WAIT_MILLISECONDS);
+    return await this.dependencies.configuration.refresh(MAXIMUM_REFRESH_WAIT_MILLISECONDS);
   }
 
   private async serve(
@@ -145,49 +148,50 @@
     admission: Admission,
     body: Buffer,
     sink: AnswerSink,
-    watch: RequestWatch,
+    lifetime: RequestLifetime,
   ): Promise<RunOutcome> {
-    const request = this.toRunnable(incoming, admission, body, watch);
-    const admitting = this.parts.rates.admit(
+    const request = this.toRunnableRequest(incoming, admission, body, lifetime);
+    const pendingRateAdmission = this.dependencies.rates.admit(
       admission.workspace,
-      watch.signal,
-      async () => await this.parts.budgets.beginsProgram(request),
+      lifetime.signal,
+      async () => await this.dependencies.budgets.beginsProgram(request),
     );
-    // Both mostly wait for the store, but a workspace that uses more than its rate must not cost budget calls in vain.
-    const isSideBySide = !this.parts.rates.isScarce(admission.workspace);
-    const preparing = isSideBySide ? this.prepare(request, watch) : undefined;
-    const rate = await admitting;
-    if (rate.err) {
-      void preparing?.then(giveUpTurn);
-      return { error: rate.val, kind: 'failed' };
+    // Both steps mostly wait for the store, so they run concurrently. For a workspace over its rate, which may be
+    // refused, the budget is reserved only after admission to save calls to the store.
+    const preparesConcurrently = !this.dependencies.rates.isScarce(admission.workspace);
+    const pendingTurn = preparesConcurrently ? this.prepare(request, lifetime) : undefined;
+    const rateAdmission = await pendingRateAdmission;
+    if (rateAdmission.err) {
+      void pendingTurn?.then(releaseReservation);
+      return { error: rateAdmission.val, kind: 'failed' };
     }
-    const prepared = await (preparing ?? this.prepare(request, watch));
+    const prepared = await (pendingTurn ?? this.prepare(request, lifetime));
     const outcome = prepared.ok
-      ? await this.serveTurn(prepared.val, sink, watch)
+      ? await this.serveTurn(prepared.val, sink, lifetime)
       : ({ error: prepared.val, kind: 'failed' } as const);
     if (hasNotRun(outcome)) {
-      rate.val.giveBack();
+      rateAdmission.val.giveBack();
     }
     return outcome;
   }
 
   private async prepare(
     request: RunnableRequest,
-    watch: RequestWatch,
+    lifetime: RequestLifetime,
   ): Promise<Result<PreparedTurn, ZincringError>> {
-    const history = await this.parts.keptTurns.compose(request, watch.signal);
-    if (history.err) {
-      return history;
+    const composed = await this.dependencies.keptTurns.compose(request, lifetime.signal);
+    if (composed.err) {
+      return composed;
     }
-    const composed = { ...request, body: history.val.body };
-    const suspect = this.parts.crashes.check(composed);
-    if (suspect !== undefined) {
-      return Err(suspect);
+    const requestWithHistory = { ...request, body: composed.val.body };
+    const refusal = this.dependencies.crashes.check(requestWithHistory);
+    if (refusal !== undefined) {
+      return Err(refusal);
     }
-    const budget = await this.parts.budgets.reserve(request, watch.signal);
-    return budget.map(reservation => ({
-      draft: history.val.turn,
-      request: composed,
+    const reserved = await this.dependencies.budgets.reserve(request, lifetime.signal);
+    return reserved.map(reservation => ({
+      draft: composed.val.turn,
+      request: requestWithHistory,
       reservation,
     }));
   }
@@ -195,20 +199,20 @@
   private async serveTurn(
     { draft, request, reservation }: PreparedTurn,
     sink: AnswerSink,
-    watch: RequestWatch,
+    lifetime: RequestLifetime,
   ): Promise<RunOutcome> {
     if (reservation?.beginsProgram === true) {
-      this.parts.rates.noteBeginning();
+      this.dependencies.rates.noteBeginning();
     }
-    const recorder = new TurnRecorder(reservation, draft, watch.signal);
-    watch.noteAdmitted(this.timers.now());
-    this.parts.metrics.admissionSeconds.observe(watch.waited / 1_000);
+    const recorder = new TurnRecorder(reservation, draft, lifetime.signal);
+    lifetime.recordAdmission(this.timers.now());
+    this.dependencies.metrics.admissionSeconds.observe(lifetime.admissionMilliseconds / 1_000);
     const loop = new AttemptLoop(
-      this.parts,
+      this.dependencies,
       request,
       sink,
       request.route.kind === 'streaming' ? recorder : undefined,
-      watch,
+      lifetime,
     );
     try {
       return await loop.run();
@@ -217,16 +221,16 @@
     }
   }
 
-  private toRunnable(
+  private toRunnableRequest(
     incoming: IncomingRequest,
     { route, service, workspace }: Admission,
     body: Buffer,
-    watch: RequestWatch,
+    lifetime: RequestLifetime,
   ): RunnableRequest {
     const priority = workspace?.priority ?? route.priority;
     return {
       body,
-      deadline: watch.deadline,
+      deadline: lifetime.deadline,
       facts: incoming.facts,
       headers: incoming.headers,
       method: incoming.method,
@@ -234,7 +238,9 @@
       route,
       service,
       urgency:
-        service.engine === undefined ? undefined : Math.min(LAST_URGENCY, FIRST_URGENCY + priority),
+        service.engine === undefined
+          ? undefined
+          : Math.min(LEAST_URGENT, HIGHEST_PRIORITY_URGENCY + priority),
       workspace: workspace?.name,
     };
   }
@@ -242,27 +248,27 @@
   private finish(
     incoming: IncomingRequest,
     sink: AnswerSink,
-    watch: RequestWatch,
+    lifetime: RequestLifetime,
     outcome: RunOutcome,
   ): void {
     switch (outcome.kind) {
       case 'served':
-        this.noteEnd(incoming, 'served', {
+        this.recordEnd(incoming, 'served', {
           replica: outcome.replica,
           runs: outcome.runs,
           status: outcome.status,
-          waited: watch.waited,
+          waited: lifetime.admissionMilliseconds,
         });
         return;
       case 'interrupted':
-        this.noteEnd(incoming, 'interrupted', {});
-        sink.cut();
+        this.recordEnd(incoming, 'interrupted', {});
+        sink.abort();
         return;
       case 'failed':
         this.refuse(incoming, sink, outcome.error);
         return;
       case 'aborted':
-        this.finishAborted(incoming, sink, watch, outcome.mayHaveRun);
+        this.finishAborted(incoming, sink, lifetime, outcome.mayHaveRun);
         return;
       default:
         outcome satisfies never;
@@ -272,17 +278,17 @@
   private finishAborted(
     incoming: IncomingRequest,
     sink: AnswerSink,
-    watch: RequestWatch,
+    lifetime: RequestLifetime,
     mayHaveRun: boolean,
   ): void {
-    if (!watch.isAwaited()) {
-      this.noteEnd(incoming, 'caller-left', { mayHaveRun });
-      sink.cut();
+    if (!lifetime.isAwaited()) {
+      this.recordEnd(incoming, 'caller-left', { mayHaveRun });
+      sink.abort();
       return;
     }
     if (sink.isStarted) {
-      this.noteEnd(incoming, 'cut', { reason: 'deadline' });
-      sink.cut();
+      this.recordEnd(incoming, 'cut', { reason: 'deadline' });
+      sink.abort();
       return;
     }
     const kind = mayHaveRun ? 'deadline-exceeded' : 'deadline-exceeded-in-queue';
@@ -291,7 +297,7 @@
 
   private refuse(incoming: IncomingRequest, sink: AnswerSink, error: ZincringError): void {
     const retryAfter = this.retryAfterSeconds(error);
-    this.noteEnd(incoming, 'refused', {
+    this.recordEnd(incoming, 'refused', {
       detail: error.detail,
       kind: error.kind,
       ran: error.ran,
@@ -299,47 +305,49 @@
       status: error.status,
     });
     if (sink.isStarted) {
-      sink.cut();
+      sink.abort();
       return;
     }
-    const headers = this.parts.wire.ownHeaders(incoming.facts.requestId, retryAfter);
+    const headers = this.dependencies.wire.ownHeaders(incoming.facts.requestId, retryAfter);
     sink.sendWhole(error.status, headers, Buffer.from(JSON.stringify(error.toReport())));
   }
 
   private retryAfterSeconds({ kind, retryAfterSeconds }: ZincringError): number | undefined {
-    const usual = retryAfterSeconds ?? undefined;
+    const defaultSeconds = retryAfterSeconds ?? undefined;
     const isOutage = kind === 'instance-not-ready' || kind === 'store-unavailable';
-    return isOutage ? this.parts.rotation.retryAfterSeconds(usual) : usual;
+    return isOutage
+      ? this.dependencies.zoneOutageDetector.retryAfterSeconds(defaultSeconds)
+      : defaultSeconds;
   }
 
-  private noteEnd(
+  private recordEnd(
     incoming: IncomingRequest,
     end: RequestEnd,
     fields: Readonly<Record<string, boolean | number | string | undefined>>,
   ): void {
-    const { configuration, metrics } = this.parts;
-    const elapsed = this.timers.now() - incoming.receivedAt;
+    const { configuration, metrics } = this.dependencies;
+    const elapsedMilliseconds = this.timers.now() - incoming.receivedAt;
     metrics.requests.inc({ end, kind: String(fields['kind'] ?? 'none') });
-    metrics.requestSeconds.observe({ end }, elapsed / 1_000);
+    metrics.requestSeconds.observe({ end }, elapsedMilliseconds / 1_000);
     const entry = {
       ...fields,
       configurationAge: Math.round(Math.min(configuration.ageMilliseconds(), 1e9)),
       configurationVersion: configuration.current?.configuration.version,
-      elapsed: Math.round(elapsed),
+      elapsed: Math.round(elapsedMilliseconds),
       event: `request-${end}`,
       program: incoming.facts.programId,
       request: incoming.facts.requestId,
     };
     if (end === 'served') {
-      this.logger.info(entry, 'a request was served');
+      this.logger.info(entry, 'request served');
       return;
     }
-    this.logger.warn(entry, 'a request was not served');
+    this.logger.warn(entry, 'request not served');
   }
 }
 
-/** Frees the tokens of a turn that will not be sent. */
-function giveUpTurn(prepared: Result<PreparedTurn, ZincringError>): void {
+/** Releases the tokens reserved for a turn that will not be sent. */
+function releaseReservation(prepared: Result<PreparedTurn, ZincringError>): void {
   if (prepared.ok) {
     prepared.val.reservation?.settle(0);
   }
@@ -380,14 +388,14 @@
   });
 }
 
-/** Spreads requests over the services of a route by weight; a session stays with one service. */
+/** Distributes requests over the services of a route by weight; all requests of a session use one service. */
 function pickService(route: GatewayRoute, facts: RequestFacts): ServiceName {
-  const total = route.services.reduce((sum, { weight }) => sum + weight, 0);
-  const point = (hash32(facts.sessionId ?? facts.requestId ?? '') / HASH_RANGE) * total;
-  let passed = 0;
+  const totalWeight = route.services.reduce((sum, { weight }) => sum + weight, 0);
+  const point = (hash32(facts.sessionId ?? facts.requestId ?? '') / HASH_RANGE) * totalWeight;
+  let cumulativeWeight = 0;
   for (const { service, weight } of route.services) {
-    passed += weight;
-    if (point < passed) {
+    cumulativeWeight += weight;
+    if (point < cumulativeWeight) {
       return service;
     }
   }
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -135,12 +135,12 @@
     const loads = new ReplicaLoads(timers, entry => this.connectionsTo(entry));
     this.pool = new ReplicaPool(this.directory, loads, options.availabilityZone, parts.random);
     this.server = new GatewayServer({
-      isInTouch: () => this.isInTouch,
+      hasStoreContact: () => this.isInTouch,
       logger,
       pipeline: this.makePipeline(),
-      rotation: this.rotation,
+      zoneOutageDetector: this.rotation,
       timers,
-      wire: parts.wire,
+      headerCodec: parts.wire,
     });
     this.readiness = new ReadinessServer(() => this.isReady, this.rotation);
     this.configuration.subscribe(index => {
@@ -195,7 +195,7 @@
       return;
     }
     this.isStopping = true;
-    this.logger.info({ event: 'stopping', underWay: this.server.underWay }, 'stopping');
+    this.logger.info({ event: 'stopping', underWay: this.server.requestsInFlight }, 'stopping');
     this.server.announceClose();
     await sleep(this.parts.timers, this.times.drainingMilliseconds);
     await this.server.close(this.times.stopMilliseconds - this.times.drainingMilliseconds);
@@ -207,7 +207,7 @@
     this.sweeper.stop();
     this.readiness.close();
     this.metricsServer.close();
-    this.logger.info({ event: 'stopped', underWay: this.server.underWay }, 'stopped');
+    this.logger.info({ event: 'stopped', underWay: this.server.requestsInFlight }, 'stopped');
   }
 
   private watchStore(table: PartitionedTable, timers: TimerService): WatchedTable {
@@ -239,7 +239,7 @@
         table,
         timers,
       }),
-      rotation: this.rotation,
+      zoneOutageDetector: this.rotation,
       timers,
       wire,
     });
--- a/packages/gateway/tests/callers/eventSplitter.test.ts
+++ b/packages/gateway/tests/callers/eventSplitter.test.ts
@@ -5,7 +5,7 @@
 const STREAM = 'id: 1\ndata: one\n\nid: 2\r\ndata: two\r\ndata: lines\r\n\r\ndata:three\n\n';
 
 describe(EventSplitter, () => {
-  it.each([1, 2, 3, 7, 1_000])('finds the events in chunks of %i bytes', size => {
+  it.each([1, 2, 3, 7, 1_000])('splits a stream that arrives in chunks of %i bytes', size => {
     const splitter = new EventSplitter();
     const bytes = Buffer.from(STREAM);
     const events = [];
@@ -19,7 +19,7 @@
   });
 
   it.each(['id: 1\ndata: on', 'id: 1\ndata: one\n', 'data'])(
-    'holds back half an event: %j',
+    'returns no incomplete event: %j',
     text => {
       const splitter = new EventSplitter();
       expect(splitter.push(Buffer.from(text))).toEqual([]);
