--- a/packages/gateway/src/callers/gatewayServer.ts
+++ b/packages/gateway/src/callers/gatewayServer.ts
@@ -6,7 +6,7 @@
 
 import type { CallerLimits } from '../configuration/gatewayConfiguration.js';
 import type { ListenAddress } from '../lifecycle/gatewayOptions.js';
-import type { RotationWatch } from '../lifecycle/rotationWatch.js';
+import type { ZoneOutageDetector } from '../lifecycle/zoneOutageDetector.js';
 import type { RequestWire } from './requestFacts.js';
 import type { IncomingRequest, RequestPipeline } from './requestPipeline.js';
 
@@ -27,7 +27,7 @@
    * response.
    */
   readonly hasStoreContact: () => boolean;
-  readonly zoneOutageDetector: RotationWatch;
+  readonly zoneOutageDetector: ZoneOutageDetector;
 }
 
 /** Maximum size of request headers that Node's parser accepts, in bytes. The operator's limit is checked separately. */
@@ -61,7 +61,7 @@
       },
     );
     this.server.on('connection', () => {
-      dependencies.zoneOutageDetector.noteConnection();
+      dependencies.zoneOutageDetector.recordConnection();
     });
     this.server.on('clientError', (failure: Error, socket) => {
       this.refuseMalformedRequest(failure, socket);
--- a/packages/gateway/src/callers/requestPipeline.ts
+++ b/packages/gateway/src/callers/requestPipeline.ts
@@ -11,7 +11,7 @@
 } from '../configuration/gatewayConfiguration.js';
 import type { BudgetReservation, TurnBudgets } from '../programs/turnBudgets.js';
 import type { KeptTurnDraft, KeptTurns } from '../programs/keptTurns.js';
-import type { RotationWatch } from '../lifecycle/rotationWatch.js';
+import type { ZoneOutageDetector } from '../lifecycle/zoneOutageDetector.js';
 import type { WorkspaceRates } from '../limits/workspaceRates.js';
 import type { AttemptParts, RunnableRequest, RunOutcome } from '../upstreams/attemptLoop.js';
 import type { GatewayMetrics, RequestEnd } from '../observation/gatewayMetrics.js';
@@ -46,7 +46,7 @@
   readonly metrics: GatewayMetrics;
   readonly budgets: TurnBudgets;
   readonly keptTurns: KeptTurns;
-  readonly zoneOutageDetector: RotationWatch;
+  readonly zoneOutageDetector: ZoneOutageDetector;
 }
 
 /** Route, service and workspace of an admitted request. */
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -21,7 +21,7 @@
   RouteName,
   WeightedService,
 } from './configuration/gatewayConfiguration.js';
-export type { GatewayParts, GatewayPorts } from './lifecycle/gateway.js';
+export type { GatewayDependencies, GatewayPorts } from './lifecycle/gateway.js';
 export { Gateway } from './lifecycle/gateway.js';
 export type { GatewayOptions, ListenAddress } from './lifecycle/gatewayOptions.js';
 export type { ReplicaEntry, ReplicaRunId } from './upstreams/replica.js';
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -25,147 +25,150 @@
 import { ReplicaDirectory } from '../upstreams/replicaDirectory.js';
 import { ReplicaLoads } from '../upstreams/replicaLoads.js';
 import { ReplicaPool } from '../upstreams/replicaPool.js';
-import { gatewayTimes } from './gatewayOptions.js';
+import { deriveGatewayTimes } from './gatewayOptions.js';
 import { ReadinessServer } from './readinessServer.js';
-import { RotationWatch } from './rotationWatch.js';
+import { ZoneOutageDetector } from './zoneOutageDetector.js';
 
-/** The world of a {@link Gateway}. */
-export interface GatewayParts {
+/** Dependencies of a {@link Gateway}. */
+export interface GatewayDependencies {
   readonly table: PartitionedTable;
   readonly wire: RequestWire;
   readonly configurationSource: ConfigurationSource;
   readonly replicaSource: ReplicaSource;
   readonly timers: TimerService;
   readonly logger: Logger;
+  /** Returns a random number between 0 and 1. */
   readonly random: () => number;
+  /** Generates an identifier that no other instance generates. */
   readonly makeId: () => string;
 }
 
-/** The ports that an instance listens on. */
+/** Ports that an instance listens on. */
 export interface GatewayPorts {
   readonly callers: number;
   readonly metrics: number;
   readonly readiness: number;
 }
 
-/** Longest wait for news of replicas, in milliseconds: one heartbeat. */
-const REPLICA_WAIT_MILLISECONDS = 1_000;
-/** Time after an outage of the store in which replicas register again, in milliseconds: as the platform states. */
-const RETURN_MILLISECONDS = 1_900;
-/** Shortest loss of the store in which entries may lapse, in milliseconds: over one heartbeat. */
-const OUTAGE_MILLISECONDS = 2_500;
-/** Pause between sweeps of connections to replicas that have left, in milliseconds. */
-const SWEEP_MILLISECONDS = 1_000;
-/** Silence of the store after which callers should go elsewhere, in milliseconds: over one wait of a feed. */
-const SILENCE_MILLISECONDS = 1_600;
-/** Time for giving back held tokens during a stop, in milliseconds: within the rest of the grace period. */
-const RELEASE_MILLISECONDS = 400;
-/** Connections that one instance opens to a replica at most. */
-const MAXIMUM_CONNECTIONS = 16;
+/** Maximum time that one request to the store waits for changes of replicas, in milliseconds: one heartbeat. */
+const REPLICA_POLL_TIMEOUT_MILLISECONDS = 1_000;
+/** Time that replicas need to register again after an outage of the store, in milliseconds: as stated by the platform. */
+const REPLICA_REREGISTRATION_MILLISECONDS = 1_900;
+/** Minimum outage of the store after which entries of replicas may have expired, in milliseconds: over one heartbeat. */
+const MINIMUM_OUTAGE_MILLISECONDS = 2_500;
+/** Interval at which connections to removed replicas are closed, in milliseconds. */
+const CONNECTION_SWEEP_INTERVAL_MILLISECONDS = 1_000;
+/** Time without a response of the store after which callers should use another instance, in milliseconds: over one wait for changes. */
+const MAXIMUM_STORE_SILENCE_MILLISECONDS = 1_600;
+/** Timeout for the release of reserved tokens during shutdown, in milliseconds: fits the remainder of the grace period. */
+const BUDGET_RELEASE_TIMEOUT_MILLISECONDS = 400;
+/** Maximum number of connections from one instance to one replica. */
+const MAXIMUM_CONNECTIONS_PER_REPLICA = 16;
 
 /**
- * An instance that serves each request where it arrives: it follows the configuration and the
- * replicas in the store, and needs no other instance.
+ * An instance that serves each request where it arrives. It follows the configuration and the list
+ * of replicas in the store and does not depend on other instances.
  *
  * @example
- * const gateway = new Gateway(options, parts);
+ * const gateway = new Gateway(options, dependencies);
  * await gateway.start();
  */
 export class Gateway {
   private readonly configuration: ConfigurationFollower;
-  private readonly directory: ReplicaDirectory;
+  private readonly replicas: ReplicaDirectory;
   private readonly crashes: CrashRecord;
   private readonly pool: ReplicaPool;
   private readonly server: GatewayServer;
   private readonly readiness: ReadinessServer;
-  private readonly rotation = new RotationWatch();
+  private readonly zoneOutageDetector = new ZoneOutageDetector();
   private readonly times: GatewayTimes;
   private readonly metrics = new GatewayMetrics();
   private readonly metricsServer = new MetricsServer(this.metrics);
   private readonly logger: Logger;
   private readonly table: WatchedTable;
   private readonly budgets: TurnBudgets;
-  /** Names this run of the instance among all that ever hold tokens or credit. */
+  /** Identifies this run of the instance as a holder of tokens and credit; unique among all runs of all instances. */
   private readonly holder: string;
-  private readonly sweeper: RowSweeper;
-  private sweeping: TimerSubscription | undefined;
+  private readonly rowSweeper: RowSweeper;
+  private connectionSweepTimer: TimerSubscription | undefined;
   private isStopping = false;
 
   public constructor(
     private readonly options: GatewayOptions,
-    private readonly parts: GatewayParts,
+    private readonly dependencies: GatewayDependencies,
   ) {
-    const { timers } = parts;
-    const table = this.watchStore(parts.table, timers);
+    const { timers } = dependencies;
+    const table = this.instrumentStore(dependencies.table, timers);
     this.table = table;
-    const logger = new DecisionLog(parts.logger, timers, defaultDecisionLogOptions);
+    const logger = new DecisionLog(dependencies.logger, timers, defaultDecisionLogOptions);
     this.logger = logger;
-    this.times = gatewayTimes(options);
+    this.times = deriveGatewayTimes(options);
     this.configuration = new ConfigurationFollower(
       table,
-      parts.configurationSource,
+      dependencies.configurationSource,
       timers,
       logger,
       {
         freshMilliseconds: this.times.freshMilliseconds,
         usableMilliseconds: options.staleConfigurationMilliseconds,
-        waitMilliseconds: this.times.configurationWaitMilliseconds,
+        waitMilliseconds: this.times.configurationPollTimeoutMilliseconds,
       },
     );
-    this.directory = new ReplicaDirectory(table, parts.replicaSource, timers, logger, {
-      outageMilliseconds: OUTAGE_MILLISECONDS,
-      pauseMilliseconds: this.times.replicaPauseMilliseconds,
-      returnMilliseconds: RETURN_MILLISECONDS,
-      waitMilliseconds: REPLICA_WAIT_MILLISECONDS,
+    this.replicas = new ReplicaDirectory(table, dependencies.replicaSource, timers, logger, {
+      outageMilliseconds: MINIMUM_OUTAGE_MILLISECONDS,
+      pauseMilliseconds: this.times.replicaPollIntervalMilliseconds,
+      returnMilliseconds: REPLICA_REREGISTRATION_MILLISECONDS,
+      waitMilliseconds: REPLICA_POLL_TIMEOUT_MILLISECONDS,
     });
-    this.crashes = new CrashRecord({ logger, makeId: parts.makeId, table, timers });
-    this.holder = `${options.instance}/${parts.makeId()}`;
+    this.crashes = new CrashRecord({ logger, makeId: dependencies.makeId, table, timers });
+    this.holder = `${options.instance}/${dependencies.makeId()}`;
     this.budgets = new TurnBudgets({
       holder: this.holder,
       logger,
-      random: parts.random,
+      random: dependencies.random,
       table,
       timers,
     });
-    this.sweeper = new RowSweeper({ logger, random: parts.random, table, timers }, [
+    this.rowSweeper = new RowSweeper({ logger, random: dependencies.random, table, timers }, [
       sweptTurns,
       sweptBudgets,
       sweptCrashes,
     ]);
-    const loads = new ReplicaLoads(timers, entry => this.connectionsTo(entry));
-    this.pool = new ReplicaPool(this.directory, loads, options.availabilityZone, parts.random);
+    const load = new ReplicaLoads(timers, entry => this.maximumConnectionsTo(entry));
+    this.pool = new ReplicaPool(this.replicas, load, options.availabilityZone, dependencies.random);
     this.server = new GatewayServer({
-      hasStoreContact: () => this.isInTouch,
+      hasStoreContact: () => this.hasStoreContact,
       logger,
       pipeline: this.makePipeline(),
-      zoneOutageDetector: this.rotation,
+      zoneOutageDetector: this.zoneOutageDetector,
       timers,
-      headerCodec: parts.wire,
+      headerCodec: dependencies.wire,
     });
-    this.readiness = new ReadinessServer(() => this.isReady, this.rotation);
+    this.readiness = new ReadinessServer(() => this.isReady, this.zoneOutageDetector);
     this.configuration.subscribe(index => {
       this.server.applyLimits(index.configuration.callerLimits);
     });
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether the load balancer should send callers to this instance. */
   public get isReady(): boolean {
-    return !this.isStopping && this.isInTouch;
+    return !this.isStopping && this.hasStoreContact;
   }
 
   /**
-   * Whether requests with a key can be served here for a while. An instance without the store says
-   * so early, since the balancer needs two seconds to turn callers away.
+   * Whether the configuration, the replicas and the store are known to be current enough to go on
+   * serving requests with a key. It turns false before such requests must be refused, since the
+   * load balancer needs two seconds to redirect callers.
    */
-  private get isInTouch(): boolean {
+  private get hasStoreContact(): boolean {
     return (
       this.configuration.isFresh() &&
-      this.directory.isKnown &&
-      this.table.silenceMilliseconds() < SILENCE_MILLISECONDS
+      this.replicas.isKnown &&
+      this.table.silenceMilliseconds() < MAXIMUM_STORE_SILENCE_MILLISECONDS
     );
   }
 
-  /** Ports on which callers and the balancer are answered. */
+  /** Ports for callers, metrics and readiness checks. */
   public get ports(): GatewayPorts {
     return {
       callers: this.server.port,
@@ -174,22 +177,25 @@
     };
   }
 
-  /** Begins to follow the store and to listen. */
+  /** Starts to follow the store and to listen. */
   public async start(): Promise<void> {
     this.configuration.start();
-    this.directory.start();
+    this.replicas.start();
     this.crashes.start();
-    this.sweeper.start();
-    this.sweeping = this.parts.timers.every(SWEEP_MILLISECONDS, () => {
-      this.pool.sweep();
-    });
+    this.rowSweeper.start();
+    this.connectionSweepTimer = this.dependencies.timers.every(
+      CONNECTION_SWEEP_INTERVAL_MILLISECONDS,
+      () => {
+        this.pool.sweep();
+      },
+    );
     await this.server.listen(this.options.callers);
     await this.readiness.listen(this.options.readiness);
     await this.metricsServer.listen(this.options.metrics);
-    this.logger.info({ event: 'started', ...this.ports }, 'the instance serves callers');
+    this.logger.info({ event: 'started', ...this.ports }, 'listening for callers');
   }
 
-  /** Leaves the rotation, answers what is under way, and ends. */
+  /** Reports itself unready, completes the requests in flight within the grace period, and stops. */
   public async stop(): Promise<void> {
     if (this.isStopping) {
       return;
@@ -197,20 +203,23 @@
     this.isStopping = true;
     this.logger.info({ event: 'stopping', underWay: this.server.requestsInFlight }, 'stopping');
     this.server.announceClose();
-    await sleep(this.parts.timers, this.times.drainingMilliseconds);
-    await this.server.close(this.times.stopMilliseconds - this.times.drainingMilliseconds);
-    this.sweeping?.stop();
-    await Promise.race([this.budgets.releaseAll(), sleep(this.parts.timers, RELEASE_MILLISECONDS)]);
+    await sleep(this.dependencies.timers, this.times.acceptingMilliseconds);
+    await this.server.close(this.times.stopMilliseconds - this.times.acceptingMilliseconds);
+    this.connectionSweepTimer?.stop();
+    await Promise.race([
+      this.budgets.releaseAll(),
+      sleep(this.dependencies.timers, BUDGET_RELEASE_TIMEOUT_MILLISECONDS),
+    ]);
     this.configuration.stop();
-    this.directory.stop();
+    this.replicas.stop();
     this.crashes.stop();
-    this.sweeper.stop();
+    this.rowSweeper.stop();
     this.readiness.close();
     this.metricsServer.close();
     this.logger.info({ event: 'stopped', underWay: this.server.requestsInFlight }, 'stopped');
   }
 
-  private watchStore(table: PartitionedTable, timers: TimerService): WatchedTable {
+  private instrumentStore(table: PartitionedTable, timers: TimerService): WatchedTable {
     return new WatchedTable(table, timers, (call, name, isAnswered, milliseconds) => {
       const outcome = isAnswered ? 'answered' : 'failed';
       this.metrics.storeCalls.inc({ call, outcome, table: name });
@@ -222,7 +231,7 @@
 
   private makePipeline(): RequestPipeline {
     const { budgets, logger, table } = this;
-    const { random, timers, wire } = this.parts;
+    const { random, timers, wire } = this.dependencies;
     return new RequestPipeline({
       budgets,
       configuration: this.configuration,
@@ -239,14 +248,17 @@
         table,
         timers,
       }),
-      zoneOutageDetector: this.rotation,
+      zoneOutageDetector: this.zoneOutageDetector,
       timers,
       wire,
     });
   }
 
-  private connectionsTo(entry: ReplicaEntry): number {
+  private maximumConnectionsTo(entry: ReplicaEntry): number {
     const service = this.configuration.current?.findService(entry.service);
-    return Math.min(MAXIMUM_CONNECTIONS, service?.maximumConnections ?? MAXIMUM_CONNECTIONS);
+    return Math.min(
+      MAXIMUM_CONNECTIONS_PER_REPLICA,
+      service?.maximumConnections ?? MAXIMUM_CONNECTIONS_PER_REPLICA,
+    );
   }
 }
--- a/packages/gateway/src/lifecycle/gatewayOptions.ts
+++ b/packages/gateway/src/lifecycle/gatewayOptions.ts
@@ -1,74 +1,75 @@
 import type { AvailabilityZone, InstanceId } from '@zincring/core';
 
-/** An IP number and a port. */
+/** IP address and port to listen on. */
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** What an instance needs to know to serve requests directly. */
+/** Options of a gateway instance. */
 export interface GatewayOptions {
   readonly instance: InstanceId;
   readonly availabilityZone: AvailabilityZone;
-  /** Where callers connect. */
+  /** Address for callers. */
   readonly callers: ListenAddress;
-  /** Where the balancer asks whether to send callers here. */
+  /** Address for the readiness checks of the load balancer. */
   readonly readiness: ListenAddress;
-  /** Where metrics are served. */
+  /** Address for metrics. */
   readonly metrics: ListenAddress;
-  /** Time for which a withdrawn key may still work, in milliseconds; from the operator's bounds. */
+  /** Maximum time that a withdrawn key may still be accepted, in milliseconds; one of the operator's bounds. */
   readonly revocationMilliseconds: number;
-  /** Time for which an older configuration may be in force while the store is troubled, in milliseconds; from the operator's bounds. */
+  /** Maximum time that an outdated configuration may be in force during a failure of the store, in milliseconds; one of the operator's bounds. */
   readonly staleConfigurationMilliseconds: number;
-  /** Time after which a leaving replica must get nothing new, in milliseconds; from the operator's bounds. */
+  /** Time after which a draining replica must not receive new requests, in milliseconds; one of the operator's bounds. */
   readonly drainMilliseconds: number;
-  /** Time between the request to stop and the forced end, in milliseconds; from the operator's bounds. */
+  /** Time between the request to stop and the forced termination, in milliseconds; one of the operator's bounds. */
   readonly graceMilliseconds: number;
-  /** Most bytes that one row of the store holds. */
+  /** Maximum size of one row of the store, in bytes. */
   readonly rowBytes: number;
 }
 
-/** Times that follow from the operator's bounds. */
+/** Times of an instance in milliseconds, derived from the operator's bounds. */
 export interface GatewayTimes {
-  /** Age up to which the configuration counts as current. */
+  /** Maximum age at which the configuration counts as current. */
   readonly freshMilliseconds: number;
-  /** Longest wait for news of the configuration. */
-  readonly configurationWaitMilliseconds: number;
-  /** Pause between looks at the list of replicas. */
-  readonly replicaPauseMilliseconds: number;
-  /** Time for which callers are still taken in after a request to stop. */
-  readonly drainingMilliseconds: number;
-  /** Time after which the process ends with requests under way. */
+  /** Maximum time that one request to the store waits for changes of the configuration. */
+  readonly configurationPollTimeoutMilliseconds: number;
+  /** Interval between reads of the list of replicas. */
+  readonly replicaPollIntervalMilliseconds: number;
+  /** Time during which new connections are still accepted after a request to stop. */
+  readonly acceptingMilliseconds: number;
+  /** Time after a request to stop at which the process ends even if requests are in flight. */
   readonly stopMilliseconds: number;
 }
 
 /**
- * Part of the revocation bound after which an instance without the store stops serving: the feed
- * may miss a second of changes, and callers are not owed an answer from then on.
+ * Fraction of the revocation bound after which an instance without contact to the store refuses
+ * requests. The margin is for the feed, which may miss a second of changes; from this age on,
+ * refusals are allowed.
  */
 const FRESH_SHARE = 0.6;
-/** Looks at the configuration within the time it stays fresh. */
-const LOOKS_WHILE_FRESH = 3;
-/** Looks at the replicas within the time that a leaving one may get requests. */
-const LOOKS_WHILE_DRAINING = 4;
-/** Part of the grace period in which callers may still arrive: the balancer needs two seconds to turn away. */
-const DRAINING_SHARE = 0.45;
-/** Part of the grace period after which the process ends. */
+/** Requests for changes of the configuration within the time that it counts as current. */
+const POLLS_WHILE_FRESH = 3;
+/** Reads of the list of replicas within the time that a draining one may receive new requests. */
+const POLLS_WHILE_REPLICA_DRAINS = 4;
+/** Fraction of the grace period in which new connections are accepted: the load balancer needs two seconds to redirect callers. */
+const ACCEPTING_SHARE = 0.45;
+/** Fraction of the grace period after which the process ends. */
 const STOP_SHARE = 0.9;
 
 /**
- * Works out the times of an instance from the operator's bounds.
+ * Derives the times of an instance from the operator's bounds.
  *
  * @example
- * gatewayTimes(options).freshMilliseconds; // 3000 for a bound of 5000
+ * deriveGatewayTimes(options).freshMilliseconds; // 3000 for a bound of 5000
  */
-export function gatewayTimes(options: GatewayOptions): GatewayTimes {
+export function deriveGatewayTimes(options: GatewayOptions): GatewayTimes {
   const freshMilliseconds = options.revocationMilliseconds * FRESH_SHARE;
   return {
-    configurationWaitMilliseconds: freshMilliseconds / LOOKS_WHILE_FRESH,
-    drainingMilliseconds: options.graceMilliseconds * DRAINING_SHARE,
+    configurationPollTimeoutMilliseconds: freshMilliseconds / POLLS_WHILE_FRESH,
+    acceptingMilliseconds: options.graceMilliseconds * ACCEPTING_SHARE,
     freshMilliseconds,
-    replicaPauseMilliseconds: options.drainMilliseconds / LOOKS_WHILE_DRAINING,
+    replicaPollIntervalMilliseconds: options.drainMilliseconds / POLLS_WHILE_REPLICA_DRAINS,
     stopMilliseconds: options.graceMilliseconds * STOP_SHARE,
   };
 }
--- a/packages/gateway/src/lifecycle/readinessServer.ts
+++ b/packages/gateway/src/lifecycle/readinessServer.ts
@@ -1,19 +1,19 @@
-import type { RotationWatch } from './rotationWatch.js';
+import type { ZoneOutageDetector } from './zoneOutageDetector.js';
 
 import { HttpEndpoint } from '../util/httpEndpoint.js';
 
 /**
- * Tells the balancer whether callers should be sent here; the path does not matter.
+ * HTTP server for the readiness checks of the load balancer; it responds alike on every path.
  *
  * @example
- * await new ReadinessServer(() => gateway.isReady, rotation).listen({ host: '10.1.0.11', port: 8369 });
+ * await new ReadinessServer(() => gateway.isReady, detector).listen({ host: '10.1.0.11', port: 8369 });
  */
 export class ReadinessServer extends HttpEndpoint {
-  public constructor(isReady: () => boolean, rotation: RotationWatch) {
+  public constructor(isReady: () => boolean, zoneOutageDetector: ZoneOutageDetector) {
     super(response => {
-      const answer = isReady();
-      rotation.noteCheck(answer);
-      response.writeHead(answer ? 200 : 503, { 'Content-Length': 0 });
+      const isCurrentlyReady = isReady();
+      zoneOutageDetector.recordReadinessCheck(isCurrentlyReady);
+      response.writeHead(isCurrentlyReady ? 200 : 503, { 'Content-Length': 0 });
       response.end();
     });
   }
--- a/packages/gateway/tests/lifecycle/gateway.test.ts
+++ b/packages/gateway/tests/lifecycle/gateway.test.ts
@@ -28,21 +28,21 @@
   runsOf,
 } from '../support/fleet.js';
 
-describe('an instance that serves directly', () => {
-  it('forwards a request as it came, without the key, and its answer as it is', async () => {
-    const fleet = await startFleet(unsafeRoute, [[answers('done')]]);
-    const reply = await fleet.send({
+describe('Gateway', () => {
+  it('forwards a request without its API key and returns the response unchanged', async () => {
+    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const response = await fixture.send({
       body: 'input',
       headers: { connection: 'keep-alive, x-hop', 'x-hop': 'gone', 'x-own': 'kept' },
     });
-    expect(reply).toMatchObject({ body: 'done', isWhole: true, status: 200 });
-    expect(reply.headers['server-stamp']).toBe('s1');
-    const seen = fleet.replicas[0]!.seen[0]!;
-    expect(seen).toMatchObject({ body: 'input', method: 'POST', path: '/summaries/7?full=1' });
-    expect(seen.headers.get('x-own')).toBe('kept');
-    expect(seen.headers.get('expected')).toBe('r0');
-    expect(seen.headers.get('workspace')).toBe('clerks');
-    expect(seen.headers.has('key')).toBe(false);
+    expect(response).toMatchObject({ body: 'done', isWhole: true, status: 200 });
+    expect(response.headers['server-stamp']).toBe('s1');
+    const request = fixture.replicas[0]!.seen[0]!;
+    expect(request).toMatchObject({ body: 'input', method: 'POST', path: '/summaries/7?full=1' });
+    expect(request.headers.get('x-own')).toBe('kept');
+    expect(request.headers.get('expected')).toBe('r0');
+    expect(request.headers.get('workspace')).toBe('clerks');
+    expect(request.headers.has('key')).toBe(false);
   });
 
   it.each([
@@ -51,185 +51,197 @@
     ['an unknown key', { headers: { key: 'wrong' } }, 401],
     ['a body that is too large', { body: 'x'.repeat(5_000) }, 413],
   ])('refuses %s', async (_name, options, status) => {
-    const fleet = await startFleet(unsafeRoute, [[answers('done')]]);
-    expect((await fleet.send(options)).status).toBe(status);
-    expect(runsOf(fleet)).toBe(0);
+    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    expect((await fixture.send(options)).status).toBe(status);
+    expect(runsOf(fixture)).toBe(0);
   });
 
   it.each([
-    ['refuses', refuses],
-    ['is another one', misdirects],
-  ])('sends an unsafe request on when a replica %s', async (_name, behaviour) => {
-    const fleet = await startFleet(unsafeRoute, [[behaviour], [behaviour], [answers('done')]]);
+    ['refuses it', refuses],
+    ['is not the expected one', misdirects],
+  ])('sends an unsafe request to another replica when one %s', async (_name, behaviour) => {
+    const fixture = await startFleet(unsafeRoute, [[behaviour], [behaviour], [answers('done')]]);
     for (let round = 0; round < 3; round++) {
-      expect((await fleet.send()).status).toBe(200);
+      expect((await fixture.send()).status).toBe(200);
     }
   });
 
-  it('says that a request did not run when all replicas refuse it', async () => {
-    const fleet = await startFleet(unsafeRoute, [[refuses], [refuses]]);
-    const reply = await fleet.send();
-    expect(reply.status).toBe(503);
-    expect(Number(reply.headers['retry-after'])).toBeGreaterThan(0);
+  it('responds with 503 and Retry-After when all replicas refuse a request', async () => {
+    const fixture = await startFleet(unsafeRoute, [[refuses], [refuses]]);
+    const response = await fixture.send();
+    expect(response.status).toBe(503);
+    expect(Number(response.headers['retry-after'])).toBeGreaterThan(0);
   });
 
-  const lostAnswers: readonly (readonly [string, Behaviour])[] = [
+  const lostResponses: readonly (readonly [string, Behaviour])[] = [
     ['resets the connection', resets],
-    ['breaks its answer off', truncates],
-    ['answers another request', confuses],
-    ['sends no answer', babbles],
+    ['truncates its response', truncates],
+    ['responds to another request', confuses],
+    ['sends a malformed response', babbles],
   ];
 
-  it.each(lostAnswers)(
+  it.each(lostResponses)(
     'runs an unsafe request once when the replica %s',
     async (_name, behaviour) => {
-      const fleet = await startFleet(unsafeRoute, [[behaviour], [behaviour]]);
-      expect((await fleet.send()).status).toBe(502);
-      expect(runsOf(fleet)).toBe(1);
+      const fixture = await startFleet(unsafeRoute, [[behaviour], [behaviour]]);
+      expect((await fixture.send()).status).toBe(502);
+      expect(runsOf(fixture)).toBe(1);
     },
   );
 
-  it.each(lostAnswers)(
+  it.each(lostResponses)(
     'runs a safe request again when the replica %s',
     async (_name, behaviour) => {
-      const fleet = await startFleet(safeRoute, [[behaviour, answers('done')], [answers('done')]]);
-      const reply = await fleet.send({ method: 'GET' });
-      expect(reply).toMatchObject({ body: 'done', status: 200 });
-      expect(runsOf(fleet)).toBe(2);
+      const fixture = await startFleet(safeRoute, [
+        [behaviour, answers('done')],
+        [answers('done')],
+      ]);
+      const response = await fixture.send({ method: 'GET' });
+      expect(response).toMatchObject({ body: 'done', status: 200 });
+      expect(runsOf(fixture)).toBe(2);
     },
   );
 
-  it('runs a safe request no more often than its route allows', async () => {
-    const fleet = await startFleet(safeRoute, [[resets], [resets], [resets], [resets]]);
-    expect((await fleet.send({ method: 'GET' })).status).toBe(502);
-    expect(runsOf(fleet)).toBe(2);
+  it('runs a safe request at most as often as its route allows', async () => {
+    const fixture = await startFleet(safeRoute, [[resets], [resets], [resets], [resets]]);
+    expect((await fixture.send({ method: 'GET' })).status).toBe(502);
+    expect(runsOf(fixture)).toBe(2);
   });
 
-  it.each([0, 5])('never gives a late second answer to the next request (%i ms)', async pause => {
-    const fleet = await startFleet(safeRoute, [[answersTwice('mine', pause), answers('next')]]);
-    expect((await fleet.send({ method: 'GET' })).body).toBe('mine');
-    await new Promise(resolve => setTimeout(resolve, 2 * pause));
-    const reply = await fleet.send({ headers: { 'request-id': 'request-2' }, method: 'GET' });
-    expect(reply.body).not.toBe('other');
-  });
+  it.each([0, 5])(
+    'never returns a surplus response to the next request (sent after %i ms)',
+    async pause => {
+      const fixture = await startFleet(safeRoute, [[answersTwice('mine', pause), answers('next')]]);
+      expect((await fixture.send({ method: 'GET' })).body).toBe('mine');
+      await new Promise(resolve => setTimeout(resolve, 2 * pause));
+      const response = await fixture.send({
+        headers: { 'request-id': 'request-2' },
+        method: 'GET',
+      });
+      expect(response.body).not.toBe('other');
+    },
+  );
 
-  it('takes an answer that ends with its connection', async () => {
-    const fleet = await startFleet(unsafeRoute, [[answersUnframed('all of it')]]);
-    expect(await fleet.send()).toMatchObject({ body: 'all of it', isWhole: true, status: 200 });
+  it('accepts a response whose end is the end of its connection', async () => {
+    const fixture = await startFleet(unsafeRoute, [[answersUnframed('all of it')]]);
+    expect(await fixture.send()).toMatchObject({ body: 'all of it', isWhole: true, status: 200 });
   });
 
-  it('passes on the failure of a replica that ran an unsafe request', async () => {
-    const fleet = await startFleet(unsafeRoute, [[answers('broken', '500 Failed')]]);
-    expect(await fleet.send()).toMatchObject({ body: 'broken', status: 500 });
+  it('forwards the error response of a replica that ran an unsafe request', async () => {
+    const fixture = await startFleet(unsafeRoute, [[answers('broken', '500 Failed')]]);
+    expect(await fixture.send()).toMatchObject({ body: 'broken', status: 500 });
   });
 
-  it('ends a request at the time of its route', async () => {
-    const fleet = await startFleet({ ...unsafeRoute, timeoutMilliseconds: 60 }, [[stalls]]);
-    expect((await fleet.send()).status).toBe(504);
+  it('ends a request at the timeout of its route', async () => {
+    const fixture = await startFleet({ ...unsafeRoute, timeoutMilliseconds: 60 }, [[stalls]]);
+    expect((await fixture.send()).status).toBe(504);
   });
 
-  it('closes the connection of a safe request whose caller left', async () => {
-    const fleet = await startFleet(safeRoute, [[stalls]]);
-    await expect(fleet.send({ leaveAfter: 30, method: 'GET' })).rejects.toThrow('left');
-    await waitUntil(() => fleet.replicas[0]!.closed === 1);
-    expect(runsOf(fleet)).toBe(1);
+  it('closes the connection to the replica when the caller of a safe request disconnects', async () => {
+    const fixture = await startFleet(safeRoute, [[stalls]]);
+    await expect(fixture.send({ leaveAfter: 30, method: 'GET' })).rejects.toThrow('left');
+    await waitUntil(() => fixture.replicas[0]!.closed === 1);
+    expect(runsOf(fixture)).toBe(1);
   });
 
-  it('hands over the events of a stream', async () => {
-    const fleet = await startFleet(streamRoute, [[streams([1, 2, 3], 'whole')]]);
-    const reply = await fleet.send({ body: 'input' });
-    expect(reply.isWhole).toBe(true);
-    expect(reply.body.match(/id: \d+/g)).toEqual(['id: 1', 'id: 2', 'id: 3']);
+  it('forwards the events of a stream', async () => {
+    const fixture = await startFleet(streamRoute, [[streams([1, 2, 3], 'whole')]]);
+    const response = await fixture.send({ body: 'input' });
+    expect(response.isWhole).toBe(true);
+    expect(response.body.match(/id: \d+/g)).toEqual(['id: 1', 'id: 2', 'id: 3']);
   });
 
-  it.each(['break', 'half-event'] as const)('goes on after a stream ended with a %s', async end => {
-    const behaviour: Behaviour = (socket, request) => {
-      const isResumed = request.headers.has('last-event-id');
-      const answer = isResumed ? streams([3, 4], 'whole') : streams([1, 2], end);
-      answer(socket, request);
-    };
-    const fleet = await startFleet(resumableRoute, [[behaviour], [behaviour]]);
-    const reply = await fleet.send({ body: 'input' });
-    const ids = reply.body.match(/id: \d+/g) ?? [];
-    expect(ids).toEqual(['id: 1', 'id: 2', 'id: 3', 'id: 4']);
-    expect(reply.isWhole).toBe(true);
-    expect(fleet.replicas.map(replica => replica.seen.length)).toEqual([1, 1]);
-  });
+  it.each(['break', 'half-event'] as const)(
+    'resumes a stream at another replica after it ended with a %s',
+    async end => {
+      const behaviour: Behaviour = (socket, request) => {
+        const isResumed = request.headers.has('last-event-id');
+        const respond = isResumed ? streams([3, 4], 'whole') : streams([1, 2], end);
+        respond(socket, request);
+      };
+      const fixture = await startFleet(resumableRoute, [[behaviour], [behaviour]]);
+      const response = await fixture.send({ body: 'input' });
+      const ids = response.body.match(/id: \d+/g) ?? [];
+      expect(ids).toEqual(['id: 1', 'id: 2', 'id: 3', 'id: 4']);
+      expect(response.isWhole).toBe(true);
+      expect(fixture.replicas.map(replica => replica.seen.length)).toEqual([1, 1]);
+    },
+  );
 
-  it('does not let a broken stream look complete', async () => {
-    const fleet = await startFleet(streamRoute, [[streams([1, 2], 'break')]]);
-    const reply = await fleet.send({ body: 'input' });
-    expect(reply.isWhole).toBe(false);
-    expect(runsOf(fleet)).toBe(1);
+  it('leaves the response incomplete when its stream breaks', async () => {
+    const fixture = await startFleet(streamRoute, [[streams([1, 2], 'break')]]);
+    const response = await fixture.send({ body: 'input' });
+    expect(response.isWhole).toBe(false);
+    expect(runsOf(fixture)).toBe(1);
   });
 
   it.each([
-    ['its own input alone', undefined],
-    ['a chain of turns', 'turn-a'],
+    ['its own input', undefined],
+    ['its history and input', 'turn-a'],
   ])('refuses a turn that crashed three replicas with %s', async (_name, previousTurn) => {
     const behaviour: Behaviour = (socket, request) => {
-      const answer = request.body.includes('poison') ? resets : streams([1], 'whole');
-      answer(socket, request);
+      const respond = request.body.includes('poison') ? resets : streams([1], 'whole');
+      respond(socket, request);
     };
-    const fleet = await startFleet({ ...streamRoute, keepsTurns: true }, [[behaviour]]);
-    await fleet.send({ body: 'hello', headers: { 'request-id': 'turn-a' } });
+    const fixture = await startFleet({ ...streamRoute, keepsTurns: true }, [[behaviour]]);
+    await fixture.send({ body: 'hello', headers: { 'request-id': 'turn-a' } });
     const statuses: number[] = [];
     for (let attempt = 0; attempt < 4; attempt++) {
       const headers = {
         'request-id': `poison-${String(attempt)}`,
         ...(previousTurn === undefined ? {} : { 'previous-turn': previousTurn }),
       };
-      statuses.push((await fleet.send({ body: 'poison', headers })).status);
+      statuses.push((await fixture.send({ body: 'poison', headers })).status);
     }
     expect(statuses).toEqual([502, 502, 502, 503]);
-    expect(runsOf(fleet)).toBe(4);
+    expect(runsOf(fixture)).toBe(4);
   });
 
-  it('answers 503 to requests with a key once its configuration may be old', async () => {
-    const fleet = await startFleet(unsafeRoute, [[answers('done')]]);
-    fleet.store.isRefusing = true;
-    await waitUntil(() => !fleet.gateway.isReady);
+  it('responds with 503 to requests with a key once its configuration may be outdated', async () => {
+    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    fixture.store.isRefusing = true;
+    await waitUntil(() => !fixture.gateway.isReady);
     await new Promise(resolve => setTimeout(resolve, 2_000));
-    const reply = await fleet.send({ headers: { connection: 'keep-alive' } });
-    expect(reply.status).toBe(503);
-    expect(reply.headers.connection).toBe('close');
-    expect(runsOf(fleet)).toBe(0);
+    const response = await fixture.send({ headers: { connection: 'keep-alive' } });
+    expect(response.status).toBe(503);
+    expect(response.headers.connection).toBe('close');
+    expect(runsOf(fixture)).toBe(0);
   }, 20_000);
 
-  it('leaves the rotation well before it must refuse requests', async () => {
-    const fleet = await startFleet(unsafeRoute, [[answers('done')]]);
-    const usual = await fleet.send({ headers: { connection: 'keep-alive' } });
+  it('reports itself unready before it refuses requests', async () => {
+    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const usual = await fixture.send({ headers: { connection: 'keep-alive' } });
     expect(usual.headers.connection).toBe('keep-alive');
-    fleet.store.isRefusing = true;
-    await waitUntil(() => !fleet.gateway.isReady);
-    const reply = await fleet.send({ headers: { connection: 'keep-alive' } });
-    expect(reply.status).toBe(200);
-    expect(reply.headers.connection).toBe('close');
+    fixture.store.isRefusing = true;
+    await waitUntil(() => !fixture.gateway.isReady);
+    const response = await fixture.send({ headers: { connection: 'keep-alive' } });
+    expect(response.status).toBe(200);
+    expect(response.headers.connection).toBe('close');
   }, 20_000);
 
-  it('tells callers to come back later when they arrive although it left the rotation', async () => {
-    const fleet = await startFleet(unsafeRoute, [[answers('done')]]);
-    fleet.store.isRefusing = true;
-    await waitUntil(() => !fleet.gateway.isReady);
+  it('sends a longer Retry-After to callers that arrive after two unready checks', async () => {
+    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    fixture.store.isRefusing = true;
+    await waitUntil(() => !fixture.gateway.isReady);
     await new Promise(resolve => setTimeout(resolve, 2_000));
-    await fleet.checkReadiness();
-    expect((await fleet.send()).headers['retry-after']).toBe('0.03');
-    await fleet.checkReadiness();
-    expect((await fleet.send()).headers['retry-after']).toBe('1');
-    fleet.store.isRefusing = false;
-    await waitUntil(() => fleet.gateway.isReady);
-    expect((await fleet.send()).status).toBe(200);
+    await fixture.checkReadiness();
+    expect((await fixture.send()).headers['retry-after']).toBe('0.03');
+    await fixture.checkReadiness();
+    expect((await fixture.send()).headers['retry-after']).toBe('1');
+    fixture.store.isRefusing = false;
+    await waitUntil(() => fixture.gateway.isReady);
+    expect((await fixture.send()).status).toBe(200);
   }, 20_000);
 
-  it('tells where a request was served, after how many runs, and how long it waited before', async () => {
+  it('logs the replica, the number of runs and the waiting time of a served request', async () => {
     const lines: Readonly<Record<string, unknown>>[] = [];
     const logger = createLogger(
       'info',
       {},
       { write: line => lines.push(JSON.parse(line) as Readonly<Record<string, unknown>>) },
     );
-    const fleet = await startFleet(safeRoute, [[resets], [answers('done')]], { logger });
-    expect((await fleet.send()).status).toBe(200);
+    const fixture = await startFleet(safeRoute, [[resets], [answers('done')]], { logger });
+    expect((await fixture.send()).status).toBe(200);
     const line = lines.find(({ event }) => event === 'request-served');
     expect(line).toMatchObject({
       replica: 'r1',
@@ -239,31 +251,31 @@
     expect(line?.['waited']).toBeLessThanOrEqual(Number(line?.['elapsed']));
   });
 
-  it('asks for the rate of the workspace and for the tokens of a turn at the same time', async () => {
-    const seen: string[] = [];
-    const fleet = await startFleet(streamRoute, [[streams([1], 'whole')]], {
+  it('requests workspace rate and turn tokens from the store concurrently', async () => {
+    const calls: string[] = [];
+    const fixture = await startFleet(streamRoute, [[streams([1], 'whole')]], {
       ratePerSecond: 100,
-      watch: table => noteCalls(table, seen),
+      watch: table => noteCalls(table, calls),
     });
-    fleet.store.latency = 30;
+    fixture.store.latency = 30;
     const headers = { most: '50', program: 'program-1', 'token-budget': '1000' };
-    expect((await fleet.send({ body: 'input', headers })).status).toBe(200);
-    expect(seen.indexOf('asked budgets')).toBeGreaterThanOrEqual(0);
-    expect(seen.indexOf('asked budgets')).toBeLessThan(seen.indexOf('answered rates'));
+    expect((await fixture.send({ body: 'input', headers })).status).toBe(200);
+    expect(calls.indexOf('asked budgets')).toBeGreaterThanOrEqual(0);
+    expect(calls.indexOf('asked budgets')).toBeLessThan(calls.indexOf('answered rates'));
   });
 
-  it('answers what is under way when it is asked to stop', async () => {
-    const late: Behaviour = (socket, request) => {
+  it('completes the requests in flight when it stops', async () => {
+    const delayed: Behaviour = (socket, request) => {
       setTimeout(() => {
         answers('late')(socket, request);
       }, 100);
     };
-    const fleet = await startFleet(unsafeRoute, [[late]]);
-    const reply = fleet.send();
-    await waitUntil(() => runsOf(fleet) === 1);
-    const stopped = fleet.gateway.stop();
-    expect(fleet.gateway.isReady).toBe(false);
-    expect(await reply).toMatchObject({ body: 'late', status: 200 });
+    const fixture = await startFleet(unsafeRoute, [[delayed]]);
+    const response = fixture.send();
+    await waitUntil(() => runsOf(fixture) === 1);
+    const stopped = fixture.gateway.stop();
+    expect(fixture.gateway.isReady).toBe(false);
+    expect(await response).toMatchObject({ body: 'late', status: 200 });
     await stopped;
   });
 });
--- a/packages/gateway/tests/lifecycle/rotationWatch.test.ts
+++ b/packages/gateway/tests/lifecycle/zoneOutageDetector.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { RotationWatch } from '../../src/lifecycle/rotationWatch.js';
+import { ZoneOutageDetector } from '../../src/lifecycle/zoneOutageDetector.js';
 
 type Step = 'connection' | 'ready' | 'unready';
 
@@ -11,40 +11,40 @@
 }
 
 const cases: readonly Case[] = [
-  { name: 'nothing was seen', seconds: 0.1, steps: [] },
-  { name: 'callers come while it is ready', seconds: 0.1, steps: ['ready', 'connection'] },
+  { name: 'no check and no connection', seconds: 0.1, steps: [] },
+  { name: 'a connection while ready', seconds: 0.1, steps: ['ready', 'connection'] },
   {
-    name: 'callers come before the balancer has turned away',
+    name: 'a connection before the second unready check',
     seconds: 0.1,
     steps: ['unready', 'connection', 'unready'],
   },
   {
-    name: 'callers come although the balancer was told twice',
+    name: 'a connection after two unready checks',
     seconds: 1,
     steps: ['unready', 'unready', 'connection'],
   },
   {
-    name: 'it is ready again',
+    name: 'ready again after a zone outage',
     seconds: 0.1,
     steps: ['unready', 'unready', 'connection', 'ready'],
   },
   {
-    name: 'checks start anew after it was ready',
+    name: 'one unready check after a zone outage has ended',
     seconds: 0.1,
     steps: ['unready', 'unready', 'connection', 'ready', 'unready', 'connection'],
   },
 ];
 
-describe('when callers may come back to a fleet in an outage', () => {
+describe('ZoneOutageDetector', () => {
   it.each(cases)('$name', ({ seconds, steps }) => {
-    const rotation = new RotationWatch();
+    const detector = new ZoneOutageDetector();
     for (const step of steps) {
       if (step === 'connection') {
-        rotation.noteConnection();
+        detector.recordConnection();
       } else {
-        rotation.noteCheck(step === 'ready');
+        detector.recordReadinessCheck(step === 'ready');
       }
     }
-    expect(rotation.retryAfterSeconds(0.1)).toBe(seconds);
+    expect(detector.retryAfterSeconds(0.1)).toBe(seconds);
   });
 });
