--- a/packages/gateway/tests/lifecycle/gateway.test.ts
+++ b/packages/gateway/tests/lifecycle/gateway.test.ts
@@ -4,17 +4,17 @@
 import type { Behaviour } from '../support/fakeReplica.js';
 
 import {
-  answers,
-  answersTwice,
-  answersUnframed,
-  babbles,
-  confuses,
-  misdirects,
+  responds,
+  respondsTwice,
+  respondsWithoutLength,
+  sendsMalformedResponse,
+  respondsToOtherRequest,
+  respondsMisdirected,
   refuses,
-  resets,
-  stalls,
-  streams,
-  truncates,
+  resetsConnection,
+  neverResponds,
+  streamsEvents,
+  truncatesBody,
 } from '../support/fakeReplica.js';
 
 import {
@@ -22,22 +22,22 @@
   safeRoute,
   streamRoute,
   resumableRoute,
-  startFleet,
-  noteCalls,
+  startGateway,
+  recordCalls,
   waitUntil,
-  runsOf,
-} from '../support/fleet.js';
+  countRuns,
+} from '../support/gatewayFixture.js';
 
 describe('Gateway', () => {
   it('forwards a request without its API key and returns the response unchanged', async () => {
-    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const fixture = await startGateway(unsafeRoute, [[responds('done')]]);
     const response = await fixture.send({
       body: 'input',
       headers: { connection: 'keep-alive, x-hop', 'x-hop': 'gone', 'x-own': 'kept' },
     });
-    expect(response).toMatchObject({ body: 'done', isWhole: true, status: 200 });
+    expect(response).toMatchObject({ body: 'done', isComplete: true, status: 200 });
     expect(response.headers['server-stamp']).toBe('s1');
-    const request = fixture.replicas[0]!.seen[0]!;
+    const request = fixture.replicas[0]!.receivedRequests[0]!;
     expect(request).toMatchObject({ body: 'input', method: 'POST', path: '/summaries/7?full=1' });
     expect(request.headers.get('x-own')).toBe('kept');
     expect(request.headers.get('expected')).toBe('r0');
@@ -51,67 +51,74 @@
     ['an unknown key', { headers: { key: 'wrong' } }, 401],
     ['a body that is too large', { body: 'x'.repeat(5_000) }, 413],
   ])('refuses %s', async (_name, options, status) => {
-    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const fixture = await startGateway(unsafeRoute, [[responds('done')]]);
     expect((await fixture.send(options)).status).toBe(status);
-    expect(runsOf(fixture)).toBe(0);
+    expect(countRuns(fixture)).toBe(0);
   });
 
   it.each([
     ['refuses it', refuses],
-    ['is not the expected one', misdirects],
+    ['is not the expected one', respondsMisdirected],
   ])('sends an unsafe request to another replica when one %s', async (_name, behaviour) => {
-    const fixture = await startFleet(unsafeRoute, [[behaviour], [behaviour], [answers('done')]]);
+    const fixture = await startGateway(unsafeRoute, [[behaviour], [behaviour], [responds('done')]]);
     for (let round = 0; round < 3; round++) {
       expect((await fixture.send()).status).toBe(200);
     }
   });
 
   it('responds with 503 and Retry-After when all replicas refuse a request', async () => {
-    const fixture = await startFleet(unsafeRoute, [[refuses], [refuses]]);
+    const fixture = await startGateway(unsafeRoute, [[refuses], [refuses]]);
     const response = await fixture.send();
     expect(response.status).toBe(503);
     expect(Number(response.headers['retry-after'])).toBeGreaterThan(0);
   });
 
   const lostResponses: readonly (readonly [string, Behaviour])[] = [
-    ['resets the connection', resets],
-    ['truncates its response', truncates],
-    ['responds to another request', confuses],
-    ['sends a malformed response', babbles],
+    ['resets the connection', resetsConnection],
+    ['truncates its response', truncatesBody],
+    ['responds to another request', respondsToOtherRequest],
+    ['sends a malformed response', sendsMalformedResponse],
   ];
 
   it.each(lostResponses)(
     'runs an unsafe request once when the replica %s',
     async (_name, behaviour) => {
-      const fixture = await startFleet(unsafeRoute, [[behaviour], [behaviour]]);
+      const fixture = await startGateway(unsafeRoute, [[behaviour], [behaviour]]);
       expect((await fixture.send()).status).toBe(502);
-      expect(runsOf(fixture)).toBe(1);
+      expect(countRuns(fixture)).toBe(1);
     },
   );
 
   it.each(lostResponses)(
     'runs a safe request again when the replica %s',
     async (_name, behaviour) => {
-      const fixture = await startFleet(safeRoute, [
-        [behaviour, answers('done')],
-        [answers('done')],
+      const fixture = await startGateway(safeRoute, [
+        [behaviour, responds('done')],
+        [responds('done')],
       ]);
       const response = await fixture.send({ method: 'GET' });
       expect(response).toMatchObject({ body: 'done', status: 200 });
-      expect(runsOf(fixture)).toBe(2);
+      expect(countRuns(fixture)).toBe(2);
     },
   );
 
   it('runs a safe request at most as often as its route allows', async () => {
-    const fixture = await startFleet(safeRoute, [[resets], [resets], [resets], [resets]]);
+    const fixture = await startGateway(safeRoute, [
+      [resetsConnection],
+      [resetsConnection],
+      [resetsConnection],
+      [resetsConnection],
+    ]);
     expect((await fixture.send({ method: 'GET' })).status).toBe(502);
-    expect(runsOf(fixture)).toBe(2);
+    expect(countRuns(fixture)).toBe(2);
   });
 
   it.each([0, 5])(
     'never returns a surplus response to the next request (sent after %i ms)',
     async pause => {
-      const fixture = await startFleet(safeRoute, [[answersTwice('mine', pause), answers('next')]]);
+      const fixture = await startGateway(safeRoute, [
+        [respondsTwice('mine', pause), responds('next')],
+      ]);
       expect((await fixture.send({ method: 'GET' })).body).toBe('mine');
       await new Promise(resolve => setTimeout(resolve, 2 * pause));
       const response = await fixture.send({
@@ -123,31 +130,39 @@
   );
 
   it('accepts a response whose end is the end of its connection', async () => {
-    const fixture = await startFleet(unsafeRoute, [[answersUnframed('all of it')]]);
-    expect(await fixture.send()).toMatchObject({ body: 'all of it', isWhole: true, status: 200 });
+    const fixture = await startGateway(unsafeRoute, [[respondsWithoutLength('all of it')]]);
+    expect(await fixture.send()).toMatchObject({
+      body: 'all of it',
+      isComplete: true,
+      status: 200,
+    });
   });
 
   it('forwards the error response of a replica that ran an unsafe request', async () => {
-    const fixture = await startFleet(unsafeRoute, [[answers('broken', '500 Failed')]]);
+    const fixture = await startGateway(unsafeRoute, [[responds('broken', '500 Failed')]]);
     expect(await fixture.send()).toMatchObject({ body: 'broken', status: 500 });
   });
 
   it('ends a request at the timeout of its route', async () => {
-    const fixture = await startFleet({ ...unsafeRoute, timeoutMilliseconds: 60 }, [[stalls]]);
+    const fixture = await startGateway({ ...unsafeRoute, timeoutMilliseconds: 60 }, [
+      [neverResponds],
+    ]);
     expect((await fixture.send()).status).toBe(504);
   });
 
   it('closes the connection to the replica when the caller of a safe request disconnects', async () => {
-    const fixture = await startFleet(safeRoute, [[stalls]]);
-    await expect(fixture.send({ leaveAfter: 30, method: 'GET' })).rejects.toThrow('left');
-    await waitUntil(() => fixture.replicas[0]!.closed === 1);
-    expect(runsOf(fixture)).toBe(1);
+    const fixture = await startGateway(safeRoute, [[neverResponds]]);
+    await expect(fixture.send({ disconnectAfterMilliseconds: 30, method: 'GET' })).rejects.toThrow(
+      'left',
+    );
+    await waitUntil(() => fixture.replicas[0]!.closedConnections === 1);
+    expect(countRuns(fixture)).toBe(1);
   });
 
   it('forwards the events of a stream', async () => {
-    const fixture = await startFleet(streamRoute, [[streams([1, 2, 3], 'whole')]]);
+    const fixture = await startGateway(streamRoute, [[streamsEvents([1, 2, 3], 'whole')]]);
     const response = await fixture.send({ body: 'input' });
-    expect(response.isWhole).toBe(true);
+    expect(response.isComplete).toBe(true);
     expect(response.body.match(/id: \d+/g)).toEqual(['id: 1', 'id: 2', 'id: 3']);
   });
 
@@ -156,23 +171,23 @@
     async end => {
       const behaviour: Behaviour = (socket, request) => {
         const isResumed = request.headers.has('last-event-id');
-        const respond = isResumed ? streams([3, 4], 'whole') : streams([1, 2], end);
+        const respond = isResumed ? streamsEvents([3, 4], 'whole') : streamsEvents([1, 2], end);
         respond(socket, request);
       };
-      const fixture = await startFleet(resumableRoute, [[behaviour], [behaviour]]);
+      const fixture = await startGateway(resumableRoute, [[behaviour], [behaviour]]);
       const response = await fixture.send({ body: 'input' });
       const ids = response.body.match(/id: \d+/g) ?? [];
       expect(ids).toEqual(['id: 1', 'id: 2', 'id: 3', 'id: 4']);
-      expect(response.isWhole).toBe(true);
-      expect(fixture.replicas.map(replica => replica.seen.length)).toEqual([1, 1]);
+      expect(response.isComplete).toBe(true);
+      expect(fixture.replicas.map(replica => replica.receivedRequests.length)).toEqual([1, 1]);
     },
   );
 
   it('leaves the response incomplete when its stream breaks', async () => {
-    const fixture = await startFleet(streamRoute, [[streams([1, 2], 'break')]]);
+    const fixture = await startGateway(streamRoute, [[streamsEvents([1, 2], 'break')]]);
     const response = await fixture.send({ body: 'input' });
-    expect(response.isWhole).toBe(false);
-    expect(runsOf(fixture)).toBe(1);
+    expect(response.isComplete).toBe(false);
+    expect(countRuns(fixture)).toBe(1);
   });
 
   it.each([
@@ -180,10 +195,12 @@
     ['its history and input', 'turn-a'],
   ])('refuses a turn that crashed three replicas with %s', async (_name, previousTurn) => {
     const behaviour: Behaviour = (socket, request) => {
-      const respond = request.body.includes('poison') ? resets : streams([1], 'whole');
+      const respond = request.body.includes('poison')
+        ? resetsConnection
+        : streamsEvents([1], 'whole');
       respond(socket, request);
     };
-    const fixture = await startFleet({ ...streamRoute, keepsTurns: true }, [[behaviour]]);
+    const fixture = await startGateway({ ...streamRoute, keepsTurns: true }, [[behaviour]]);
     await fixture.send({ body: 'hello', headers: { 'request-id': 'turn-a' } });
     const statuses: number[] = [];
     for (let attempt = 0; attempt < 4; attempt++) {
@@ -194,22 +211,22 @@
       statuses.push((await fixture.send({ body: 'poison', headers })).status);
     }
     expect(statuses).toEqual([502, 502, 502, 503]);
-    expect(runsOf(fixture)).toBe(4);
+    expect(countRuns(fixture)).toBe(4);
   });
 
   it('responds with 503 to requests with a key once its configuration may be outdated', async () => {
-    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const fixture = await startGateway(unsafeRoute, [[responds('done')]]);
     fixture.store.isRefusing = true;
     await waitUntil(() => !fixture.gateway.isReady);
     await new Promise(resolve => setTimeout(resolve, 2_000));
     const response = await fixture.send({ headers: { connection: 'keep-alive' } });
     expect(response.status).toBe(503);
     expect(response.headers.connection).toBe('close');
-    expect(runsOf(fixture)).toBe(0);
+    expect(countRuns(fixture)).toBe(0);
   }, 20_000);
 
   it('reports itself unready before it refuses requests', async () => {
-    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const fixture = await startGateway(unsafeRoute, [[responds('done')]]);
     const usual = await fixture.send({ headers: { connection: 'keep-alive' } });
     expect(usual.headers.connection).toBe('keep-alive');
     fixture.store.isRefusing = true;
@@ -220,7 +237,7 @@
   }, 20_000);
 
   it('sends a longer Retry-After to callers that arrive after two unready checks', async () => {
-    const fixture = await startFleet(unsafeRoute, [[answers('done')]]);
+    const fixture = await startGateway(unsafeRoute, [[responds('done')]]);
     fixture.store.isRefusing = true;
     await waitUntil(() => !fixture.gateway.isReady);
     await new Promise(resolve => setTimeout(resolve, 2_000));
@@ -240,7 +257,9 @@
       {},
       { write: line => lines.push(JSON.parse(line) as Readonly<Record<string, unknown>>) },
     );
-    const fixture = await startFleet(safeRoute, [[resets], [answers('done')]], { logger });
+    const fixture = await startGateway(safeRoute, [[resetsConnection], [responds('done')]], {
+      logger,
+    });
     expect((await fixture.send()).status).toBe(200);
     const line = lines.find(({ event }) => event === 'request-served');
     expect(line).toMatchObject({
@@ -253,11 +272,11 @@
 
   it('requests workspace rate and turn tokens from the store concurrently', async () => {
     const calls: string[] = [];
-    const fixture = await startFleet(streamRoute, [[streams([1], 'whole')]], {
+    const fixture = await startGateway(streamRoute, [[streamsEvents([1], 'whole')]], {
       ratePerSecond: 100,
-      watch: table => noteCalls(table, calls),
+      wrapTable: table => recordCalls(table, calls),
     });
-    fixture.store.latency = 30;
+    fixture.store.latencyMilliseconds = 30;
     const headers = { most: '50', program: 'program-1', 'token-budget': '1000' };
     expect((await fixture.send({ body: 'input', headers })).status).toBe(200);
     expect(calls.indexOf('asked budgets')).toBeGreaterThanOrEqual(0);
@@ -267,12 +286,12 @@
   it('completes the requests in flight when it stops', async () => {
     const delayed: Behaviour = (socket, request) => {
       setTimeout(() => {
-        answers('late')(socket, request);
+        responds('late')(socket, request);
       }, 100);
     };
-    const fixture = await startFleet(unsafeRoute, [[delayed]]);
+    const fixture = await startGateway(unsafeRoute, [[delayed]]);
     const response = fixture.send();
-    await waitUntil(() => runsOf(fixture) === 1);
+    await waitUntil(() => countRuns(fixture) === 1);
     const stopped = fixture.gateway.stop();
     expect(fixture.gateway.isReady).toBe(false);
     expect(await response).toMatchObject({ body: 'late', status: 200 });
--- a/packages/gateway/tests/support/finishWithin.ts
+++ b/packages/gateway/tests/support/finishWithin.ts
@@ -1,6 +1,9 @@
 import type { ManualTimerService } from '@zincring/core';
 
-/** Moves time in small steps until work is done, at most for a while. */
+/**
+ * Advances the manual clock in small steps until the work has settled, by at most the given time,
+ * and returns its result.
+ */
 export async function finishWithin<Value>(
   timers: ManualTimerService,
   work: Promise<Value>,
--- a/packages/gateway/tests/support/fleet.ts
+++ b/packages/gateway/tests/support/gatewayFixture.ts
@@ -12,8 +12,8 @@
 
 import { Gateway } from '../../src/lifecycle/gateway.js';
 import { FakeReplica } from './fakeReplica.js';
-import { LiveTable } from './liveTable.js';
-import { plainWire } from './plainWire.js';
+import { RealTimeTable } from './realTimeTable.js';
+import { plainHeaderCodec } from './plainHeaderCodec.js';
 import {
   configurationAddress,
   plainService,
@@ -26,37 +26,41 @@
   sampleWorkspace,
 } from './samples.js';
 
-export interface Reply {
+/** A response as the caller received it. */
+export interface ReceivedResponse {
   readonly status: number;
   readonly headers: IncomingHttpHeaders;
   readonly body: string;
-  /** Whether the answer ended as its framing says. */
-  readonly isWhole: boolean;
+  /** Whether the body was received to its end, by its framing. */
+  readonly isComplete: boolean;
 }
 
-export interface Fleet {
+/** A running gateway with its replicas and store. */
+export interface GatewayFixture {
   readonly gateway: Gateway;
   readonly replicas: readonly FakeReplica[];
-  readonly store: LiveTable;
-  send(options?: SendOptions): Promise<Reply>;
-  /** Asks as the balancer does. */
+  readonly store: RealTimeTable;
+  /** Sends a request as a caller. */
+  send(options?: RequestOptions): Promise<ReceivedResponse>;
+  /** Sends a readiness check as the load balancer. */
   checkReadiness(): Promise<unknown>;
 }
 
-export interface FleetOptions {
+export interface GatewayFixtureOptions {
   readonly logger?: Logger;
-  /** Rate of the workspace; none by default. */
+  /** Rate of the workspace, in requests per second; no limit by default. */
   readonly ratePerSecond?: number;
-  /** Looks at the calls to the store. */
-  readonly watch?: (table: PartitionedTable) => PartitionedTable;
+  /** Wraps the gateway's client of the store, for instance to record its calls. */
+  readonly wrapTable?: (table: PartitionedTable) => PartitionedTable;
 }
 
-export interface SendOptions {
+export interface RequestOptions {
   readonly headers?: Readonly<Record<string, string>>;
   readonly method?: string;
   readonly body?: string;
   readonly path?: string;
-  readonly leaveAfter?: number;
+  /** Time after which the caller disconnects, in milliseconds; never by default. */
+  readonly disconnectAfterMilliseconds?: number;
 }
 
 export const unsafeRoute = sampleRoute({
@@ -67,7 +71,7 @@
 export const streamRoute: GatewayRoute = { ...unsafeRoute, kind: 'streaming' };
 export const resumableRoute: GatewayRoute = { ...streamRoute, isResumable: true };
 
-let ids = 0;
+let nextId = 0;
 const cleanups: (() => Promise<void> | void)[] = [];
 
 afterEach(async () => {
@@ -76,16 +80,22 @@
   }
 });
 
-export async function startFleet(
+/**
+ * Starts a gateway with one route and the given replicas, and waits until it is ready. Everything
+ * is stopped after the test.
+ *
+ * @param behaviours behaviours of each replica, one per request
+ */
+export async function startGateway(
   route: GatewayRoute,
   behaviours: readonly (readonly Behaviour[])[],
   {
     logger = silentLogger,
     ratePerSecond = 0,
-    watch = (table: PartitionedTable) => table,
-  }: FleetOptions = {},
-): Promise<Fleet> {
-  const store = new LiveTable();
+    wrapTable = (table: PartitionedTable) => table,
+  }: GatewayFixtureOptions = {},
+): Promise<GatewayFixture> {
+  const store = new RealTimeTable();
   const replicas: FakeReplica[] = [];
   for (const [index, behaviour] of behaviours.entries()) {
     const replica = new FakeReplica(behaviour);
@@ -122,12 +132,12 @@
     {
       configurationSource: sampleConfigurationSource,
       logger,
-      makeId: () => `id-${String(ids++)}`,
+      makeId: () => `id-${String(nextId++)}`,
       random: () => 0,
       replicaSource: sampleReplicaSource,
-      table: watch(store.client()),
+      table: wrapTable(store.client()),
       timers: new SystemTimerService(),
-      wire: plainWire,
+      wire: plainHeaderCodec,
     },
   );
   await gateway.start();
@@ -144,30 +154,41 @@
   };
 }
 
-/** Notes when each table was asked and when it answered. */
-export function noteCalls(table: PartitionedTable, seen: string[]): PartitionedTable {
-  const note = async <Answer>(name: string, work: () => Promise<Answer>): Promise<Answer> => {
-    seen.push(`asked ${name}`);
+/** Records the start and the end of each read and transaction, with the name of its table. */
+export function recordCalls(table: PartitionedTable, calls: string[]): PartitionedTable {
+  const record = async <Answer>(name: string, work: () => Promise<Answer>): Promise<Answer> => {
+    calls.push(`asked ${name}`);
     const answer = await work();
-    seen.push(`answered ${name}`);
+    calls.push(`answered ${name}`);
     return answer;
   };
   return {
     changes: async request => await table.changes(request),
-    read: async request => await note(request.table, async () => await table.read(request)),
+    read: async request => await record(request.table, async () => await table.read(request)),
     transact: async transaction =>
-      await note(transaction.writes[0]?.table ?? '', async () => await table.transact(transaction)),
+      await record(
+        transaction.writes[0]?.table ?? '',
+        async () => await table.transact(transaction),
+      ),
   };
 }
 
-export async function waitUntil(isTrue: () => boolean): Promise<void> {
-  while (!isTrue()) {
+/** Polls until the condition is true. */
+export async function waitUntil(condition: () => boolean): Promise<void> {
+  while (!condition()) {
     await new Promise(resolve => setTimeout(resolve, 2));
   }
 }
 
-export async function send(port: number, options: SendOptions = {}): Promise<Reply> {
-  const { body, headers, leaveAfter, method = 'POST', path = '/summaries/7?full=1' } = options;
+/** Sends a request to a port of the gateway. */
+export async function send(port: number, options: RequestOptions = {}): Promise<ReceivedResponse> {
+  const {
+    body,
+    headers,
+    disconnectAfterMilliseconds,
+    method = 'POST',
+    path = '/summaries/7?full=1',
+  } = options;
   return await new Promise((resolve, reject) => {
     const outgoing = startRequest({
       agent: false,
@@ -189,7 +210,7 @@
         resolve({
           body: Buffer.concat(chunks).toString(),
           headers: response.headers,
-          isWhole: response.complete,
+          isComplete: response.complete,
           status: response.statusCode ?? 0,
         });
       };
@@ -198,12 +219,13 @@
       response.on('close', finish);
     });
     outgoing.end(body);
-    if (leaveAfter !== undefined) {
-      setTimeout(() => outgoing.destroy(new Error('left')), leaveAfter);
+    if (disconnectAfterMilliseconds !== undefined) {
+      setTimeout(() => outgoing.destroy(new Error('left')), disconnectAfterMilliseconds);
     }
   });
 }
 
-export function runsOf({ replicas }: Fleet): number {
-  return replicas.reduce((sum, replica) => sum + replica.seen.length, 0);
+/** Number of requests that the replicas have received. */
+export function countRuns({ replicas }: GatewayFixture): number {
+  return replicas.reduce((sum, replica) => sum + replica.receivedRequests.length, 0);
 }
--- a/packages/gateway/tests/support/memoryTable.ts
+++ b/packages/gateway/tests/support/memoryTable.ts
@@ -15,23 +15,24 @@
 import { Err, Ok, sleep } from '@zincring/core';
 import { PlatformError } from '@zincring/platform';
 
-/** How the store behaves. */
+/** Faults and latency of the store, as one client sees them. */
 export interface StoreFaults {
-  /** Every call fails at once and does nothing. */
+  /** Every call fails immediately and has no effect. */
   isRefusing: boolean;
-  /** No call is answered; the client gives up after a while. */
+  /** No call gets a response; each fails after the timeout of the client and has no effect. */
   isSilent: boolean;
-  /** Writes take effect and are not answered. */
+  /** Transactions take effect, but their responses are lost. */
   losesAnswers: boolean;
-  /** Feeds hear nothing although changes are made. */
+  /** Requests for changes return none although there are some. */
   hasDeafFeeds: boolean;
-  /** Time that each call takes, in milliseconds. */
+  /** Delay before each call takes effect, in milliseconds. */
   latency: number;
 }
 
-const CLIENT_TIMEOUT = 400;
+/** Time after which a client gives up on a call without a response, in milliseconds. */
+const CLIENT_TIMEOUT_MILLISECONDS = 400;
 
-/** The store in memory, on manual time, with faults that tests switch. */
+/** In-memory store on a manual clock, with faults that tests switch on and off. */
 export class MemoryTable {
   public readonly faults: StoreFaults = {
     hasDeafFeeds: false,
@@ -40,15 +41,17 @@
     latency: 5,
     losesAnswers: false,
   };
+  /** Number of calls by all clients. */
   public calls = 0;
   private readonly rows = new Map<string, PartitionedRow>();
   private history: RowChange[] = [];
   private version = 0;
-  private oldest = 0;
+  /** Changes up to this version are no longer in the history. */
+  private oldestVersion = 0;
 
   public constructor(private readonly timers: ManualTimerService) {}
 
-  /** A client of the store with faults of its own. */
+  /** Returns a client of the store; it shares the faults of the store unless it is given its own. */
   public client(faults: StoreFaults = this.faults): PartitionedTable {
     return {
       changes: async request => await this.changes(request, faults),
@@ -57,35 +60,35 @@
     };
   }
 
-  /** Writes without a call, as the operator or a replica does. */
+  /** Writes a row without a call of a client, as the operator or a replica would. */
   public put(address: RowAddress, value: unknown): void {
     const text = typeof value === 'string' ? value : JSON.stringify(value);
     this.version++;
-    this.write(address, Buffer.from(text));
+    this.writeRow(address, Buffer.from(text));
   }
 
-  /** Removes a row without a call. */
+  /** Removes a row without a call of a client. */
   public remove(address: RowAddress): void {
     this.version++;
-    this.drop(address);
+    this.removeRow(address);
   }
 
-  /** Forgets the history of changes. */
+  /** Discards the history of changes, so that earlier versions can no longer be followed. */
   public compact(): void {
     this.history = [];
-    this.oldest = this.version;
+    this.oldestVersion = this.version;
   }
 
-  /** A row as it is. */
+  /** Returns the current row without a call of a client. */
   public get(address: RowAddress): PartitionedRow | undefined {
-    return this.rows.get(nameOf(address));
+    return this.rows.get(formatAddress(address));
   }
 
   private async read(
     request: RangeRequest,
     faults: StoreFaults,
   ): Promise<Result<RangePage, PlatformError>> {
-    const failure = await this.enter(faults, 'unavailable');
+    const failure = await this.startCall(faults, 'unavailable');
     if (failure !== undefined) {
       return Err(failure);
     }
@@ -107,15 +110,15 @@
     { after, table, waitMilliseconds }: ChangesRequest,
     faults: StoreFaults,
   ): Promise<Result<ChangesAnswer, PlatformError>> {
-    const failure = await this.enter(faults, 'unavailable');
+    const failure = await this.startCall(faults, 'unavailable');
     if (failure !== undefined) {
       return Err(failure);
     }
-    if (after < this.oldest) {
+    if (after < this.oldestVersion) {
       return Ok({ kind: 'history-lost' });
     }
-    const until = this.timers.now() + waitMilliseconds;
-    while (this.timers.now() < until) {
+    const deadline = this.timers.now() + waitMilliseconds;
+    while (this.timers.now() < deadline) {
       const changes = this.history.filter(
         change => versionOf(change) > after && change.row.table === table,
       );
@@ -134,31 +137,31 @@
     transaction: PartitionedTransaction,
     faults: StoreFaults,
   ): Promise<Result<PartitionedOutcome, PlatformError>> {
-    const failure = await this.enter(faults, 'outcome-unknown');
+    const failure = await this.startCall(faults, 'outcome-unknown');
     if (failure !== undefined) {
       return Err(failure);
     }
-    const known = transaction.checks.map(check => ({ check, row: this.get(check) }));
+    const checkedRows = transaction.checks.map(check => ({ check, row: this.get(check) }));
     const storeTime = this.timers.now();
-    if (known.some(({ check, row }) => (row?.version ?? 0) !== check.version)) {
-      const rows = known.flatMap(({ row }) => (row === undefined ? [] : [row]));
+    if (checkedRows.some(({ check, row }) => (row?.version ?? 0) !== check.version)) {
+      const rows = checkedRows.flatMap(({ row }) => (row === undefined ? [] : [row]));
       return Ok({ rows, status: 'conflict', storeTime });
     }
     this.version++;
     transaction.writes.forEach(write => {
-      this.write(write, write.value);
+      this.writeRow(write, write.value);
     });
     transaction.removals.forEach(address => {
-      this.drop(address);
+      this.removeRow(address);
     });
     if (faults.losesAnswers) {
-      await sleep(this.timers, CLIENT_TIMEOUT);
+      await sleep(this.timers, CLIENT_TIMEOUT_MILLISECONDS);
       return Err(new PlatformError('outcome-unknown', 'no answer'));
     }
     return Ok({ status: 'committed', storeTime, version: this.version });
   }
 
-  private async enter(
+  private async startCall(
     faults: StoreFaults,
     failure: 'outcome-unknown' | 'unavailable',
   ): Promise<PlatformError | undefined> {
@@ -167,27 +170,27 @@
       return new PlatformError('unavailable', 'refused');
     }
     if (faults.isSilent) {
-      await sleep(this.timers, CLIENT_TIMEOUT);
+      await sleep(this.timers, CLIENT_TIMEOUT_MILLISECONDS);
       return new PlatformError(failure, 'no answer');
     }
     await sleep(this.timers, faults.latency);
     return undefined;
   }
 
-  private write(address: RowAddress, value: Buffer): void {
+  private writeRow(address: RowAddress, value: Buffer): void {
     const { key, partition, table } = address;
     const row = { key, partition, table, value, version: this.version };
-    this.rows.set(nameOf(address), row);
+    this.rows.set(formatAddress(address), row);
     this.history.push({ kind: 'written', row });
   }
 
-  private drop(address: RowAddress): void {
-    this.rows.delete(nameOf(address));
+  private removeRow(address: RowAddress): void {
+    this.rows.delete(formatAddress(address));
     this.history.push({ kind: 'removed', row: address, version: this.version });
   }
 }
 
-function nameOf({ key, partition, table }: RowAddress): string {
+function formatAddress({ key, partition, table }: RowAddress): string {
   return `${table}/${partition}/${key}`;
 }
 
--- a/packages/gateway/tests/support/plainWire.ts
+++ b/packages/gateway/tests/support/plainHeaderCodec.ts
@@ -3,8 +3,8 @@
 import { toFields, withoutFields } from '../../src/util/headerList.js';
 import { sampleFacts } from './samples.js';
 
-/** A wire of the tests' own: headers in lower case, values as they are. */
-export const plainWire: RequestWire = {
+/** Header codec for tests: header names in lower case, values without further encoding. */
+export const plainHeaderCodec: RequestWire = {
   ownHeaders: (requestId, retryAfterSeconds) => [
     ...(requestId === undefined ? [] : ['request-id', requestId]),
     ...(retryAfterSeconds === undefined ? [] : ['retry-after', String(retryAfterSeconds)]),
@@ -23,12 +23,12 @@
     return sampleFacts({
       key: fields.get('key'),
       lastEventId: fields.get('last-event-id'),
-      maximumOutputTokens: numberOf(fields.get('most')),
+      maximumOutputTokens: parseNumber(fields.get('most')),
       previousTurn: fields.get('previous-turn') as RequestFacts['previousTurn'],
       programId: fields.get('program') as RequestFacts['programId'],
       remainingMilliseconds: Number(fields.get('remaining') ?? 3_000),
       requestId: fields.get('request-id') as RequestFacts['requestId'],
-      tokenBudget: numberOf(fields.get('token-budget')),
+      tokenBudget: parseNumber(fields.get('token-budget')),
     });
   },
   toCallerHeaders: headers => withoutFields(headers, new Set(['connection', 'transfer-encoding'])),
@@ -49,6 +49,6 @@
   ],
 };
 
-function numberOf(text: string | undefined): number | undefined {
+function parseNumber(text: string | undefined): number | undefined {
   return text === undefined ? undefined : Number(text);
 }
--- a/packages/gateway/tests/support/liveTable.ts
+++ b/packages/gateway/tests/support/realTimeTable.ts
@@ -4,18 +4,18 @@
 
 import { MemoryTable } from './memoryTable.js';
 
-/** Pause between steps of the store's time, in milliseconds. */
-const STEP = 5;
+/** Length of one step of the store's manual clock and pause between two steps, in milliseconds. */
+const STEP_MILLISECONDS = 5;
 
-/** The store in memory for tests in real time. */
-export class LiveTable {
+/** In-memory store for tests in real time: its manual clock is advanced by timers. */
+export class RealTimeTable {
   private readonly timers = new ManualTimerService();
   private readonly inner = new MemoryTable(this.timers);
 
   public constructor() {
     const step = (): void => {
-      void this.timers.advance(STEP).then(() => {
-        setTimeout(step, STEP).unref();
+      void this.timers.advance(STEP_MILLISECONDS).then(() => {
+        setTimeout(step, STEP_MILLISECONDS).unref();
       });
     };
     step();
@@ -25,7 +25,7 @@
     this.inner.faults.isRefusing = isRefusing;
   }
 
-  public set latency(milliseconds: number) {
+  public set latencyMilliseconds(milliseconds: number) {
     this.inner.faults.latency = milliseconds;
   }
 
--- a/packages/gateway/tests/support/samples.ts
+++ b/packages/gateway/tests/support/samples.ts
@@ -87,7 +87,7 @@
 export const configurationAddress = { key: 'rules', partition: '', table: 'operator' };
 
 export const sampleConfigurationSource: ConfigurationSource = {
-  decode: value => parse<GatewayConfiguration>(value),
+  decode: value => parseJson<GatewayConfiguration>(value),
   key: configurationAddress.key,
   table: configurationAddress.table,
 };
@@ -95,11 +95,11 @@
 export const replicaTable = 'replicas';
 
 export const sampleReplicaSource: ReplicaSource = {
-  decode: (_id, value) => parse<ReplicaEntry>(value),
+  decode: (_id, value) => parseJson<ReplicaEntry>(value),
   table: replicaTable,
 };
 
-function parse<Value>(value: Buffer): Result<Value, string> {
+function parseJson<Value>(value: Buffer): Result<Value, string> {
   try {
     return Ok(JSON.parse(value.toString()) as Value);
   } catch {
