--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -231,7 +231,7 @@
 
   private makePipeline(): RequestPipeline {
     const { budgets, logger, table } = this;
-    const { random, timers, wire } = this.dependencies;
+    const { random, timers, wire: headerCodec } = this.dependencies;
     return new RequestPipeline({
       budgets,
       configuration: this.configuration,
@@ -250,7 +250,7 @@
       }),
       zoneOutageDetector: this.zoneOutageDetector,
       timers,
-      wire,
+      wire: headerCodec,
     });
   }
 
