--- a/packages/gateway/src/callers/callerResponse.ts
+++ b/packages/gateway/src/callers/callerResponse.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from 'node:http';
 
-import type { AnswerSink } from './answerSink.js';
+import type { ResponseSink } from './responseSink.js';
 
 import { withoutFields } from '../util/headerList.js';
 
@@ -13,7 +13,7 @@
  * @example
  * new CallerResponse(response, () => isStopping).sendWhole(200, headers, body);
  */
-export class CallerResponse implements AnswerSink {
+export class CallerResponse implements ResponseSink {
   public constructor(
     private readonly response: ServerResponse,
     private readonly shouldCloseConnection: () => boolean,
@@ -23,14 +23,14 @@
     return this.response.headersSent;
   }
 
-  public sendWhole(status: number, headers: readonly string[], body: Buffer): void {
+  public send(status: number, headers: readonly string[], body: Buffer): void {
     const hasBody = status !== 204 && status !== 304;
     const length = hasBody ? ['Content-Length', String(body.length)] : [];
     this.writeHead(status, [...withoutFields(headers, FRAMING_FIELDS), ...length]);
     this.response.end(hasBody ? body : undefined);
   }
 
-  public open(status: number, headers: readonly string[]): void {
+  public startStream(status: number, headers: readonly string[]): void {
     this.writeHead(status, [
       ...withoutFields(headers, FRAMING_FIELDS),
       'Transfer-Encoding',
--- a/packages/gateway/src/callers/gatewayServer.ts
+++ b/packages/gateway/src/callers/gatewayServer.ts
@@ -7,7 +7,7 @@
 import type { CallerLimits } from '../configuration/gatewayConfiguration.js';
 import type { ListenAddress } from '../lifecycle/gatewayOptions.js';
 import type { ZoneOutageDetector } from '../lifecycle/zoneOutageDetector.js';
-import type { RequestWire } from './requestFacts.js';
+import type { HeaderCodec } from './requestFacts.js';
 import type { IncomingRequest, RequestPipeline } from './requestPipeline.js';
 
 import { failureText } from '@zincring/core';
@@ -19,7 +19,7 @@
 /** Dependencies of a {@link GatewayServer}. */
 export interface GatewayServerDependencies {
   readonly pipeline: RequestPipeline;
-  readonly headerCodec: RequestWire;
+  readonly headerCodec: HeaderCodec;
   readonly timers: TimerService;
   readonly logger: Logger;
   /**
@@ -129,7 +129,7 @@
     });
     const incoming = this.toIncomingRequest(request, response);
     if (countHeaderBytes(request.rawHeaders) > this.maximumHeaderBytes) {
-      callerResponse.sendWhole(431, ['Connection', 'close'], Buffer.alloc(0));
+      callerResponse.send(431, ['Connection', 'close'], Buffer.alloc(0));
       return;
     }
     this.dependencies.pipeline.handle(incoming, callerResponse).catch((failure: unknown) => {
--- a/packages/gateway/src/callers/readRequestBody.ts
+++ b/packages/gateway/src/callers/readRequestBody.ts
@@ -3,7 +3,7 @@
 
 import { Err, ZincringError } from '@zincring/core';
 
-import { readWithin } from '../util/readWithin.js';
+import { readBoundedBody } from '../util/readBoundedBody.js';
 
 /**
  * Reads the complete body of a request.
@@ -16,7 +16,7 @@
   request: IncomingMessage,
   maximumBytes: number,
 ): Promise<Result<Buffer, ZincringError> | undefined> {
-  const body = await readWithin(request, maximumBytes);
+  const body = await readBoundedBody(request, maximumBytes);
   if (body.ok) {
     return body;
   }
--- a/packages/gateway/src/callers/requestLifetime.ts
+++ b/packages/gateway/src/callers/requestLifetime.ts
@@ -62,7 +62,7 @@
     this.recordedAdmissionMilliseconds = Math.round(now - this.receivedAt);
   }
 
-  public isAwaited(): boolean {
+  public isCallerWaiting(): boolean {
     return !this.hasCallerDisconnected;
   }
 
--- a/packages/gateway/src/callers/requestPipeline.ts
+++ b/packages/gateway/src/callers/requestPipeline.ts
@@ -10,12 +10,16 @@
   GatewayWorkspace,
 } from '../configuration/gatewayConfiguration.js';
 import type { BudgetReservation, TurnBudgets } from '../programs/turnBudgets.js';
-import type { KeptTurnDraft, KeptTurns } from '../programs/keptTurns.js';
+import type { TurnDraft, TurnStore } from '../programs/turnStore.js';
 import type { ZoneOutageDetector } from '../lifecycle/zoneOutageDetector.js';
 import type { WorkspaceRates } from '../limits/workspaceRates.js';
-import type { AttemptParts, RunnableRequest, RunOutcome } from '../upstreams/attemptLoop.js';
+import type {
+  AttemptLoopDependencies,
+  RunnableRequest,
+  RunOutcome,
+} from '../upstreams/attemptLoop.js';
 import type { GatewayMetrics, RequestEnd } from '../observation/gatewayMetrics.js';
-import type { AnswerSink } from './answerSink.js';
+import type { ResponseSink } from './responseSink.js';
 import type { RequestFacts } from './requestFacts.js';
 
 import { AttemptLoop } from '../upstreams/attemptLoop.js';
@@ -40,12 +44,12 @@
 }
 
 /** Dependencies of a {@link RequestPipeline}. */
-export interface RequestPipelineDependencies extends AttemptParts {
+export interface RequestPipelineDependencies extends AttemptLoopDependencies {
   readonly configuration: ConfigurationFollower;
   readonly rates: WorkspaceRates;
   readonly metrics: GatewayMetrics;
   readonly budgets: TurnBudgets;
-  readonly keptTurns: KeptTurns;
+  readonly keptTurns: TurnStore;
   readonly zoneOutageDetector: ZoneOutageDetector;
 }
 
@@ -60,7 +64,7 @@
 /** A request with its history and its token reservation. */
 interface PreparedTurn {
   readonly request: RunnableRequest;
-  readonly draft: KeptTurnDraft | undefined;
+  readonly draft: TurnDraft | undefined;
   readonly reservation: BudgetReservation | undefined;
 }
 
@@ -90,7 +94,7 @@
   }
 
   /** Handles one request and writes its response to the sink. */
-  public async handle(incoming: IncomingRequest, sink: AnswerSink): Promise<void> {
+  public async handle(incoming: IncomingRequest, sink: ResponseSink): Promise<void> {
     const admission = await this.admit(incoming);
     const body = await incoming.readBody(
       admission.ok ? admission.val.maximumBodyBytes : Number.MAX_SAFE_INTEGER,
@@ -147,18 +151,18 @@
     incoming: IncomingRequest,
     admission: Admission,
     body: Buffer,
-    sink: AnswerSink,
+    sink: ResponseSink,
     lifetime: RequestLifetime,
   ): Promise<RunOutcome> {
     const request = this.toRunnableRequest(incoming, admission, body, lifetime);
     const pendingRateAdmission = this.dependencies.rates.admit(
       admission.workspace,
       lifetime.signal,
-      async () => await this.dependencies.budgets.beginsProgram(request),
+      async () => await this.dependencies.budgets.startsProgram(request),
     );
     // Both steps mostly wait for the store, so they run concurrently. For a workspace over its rate, which may be
     // refused, the budget is reserved only after admission to save calls to the store.
-    const preparesConcurrently = !this.dependencies.rates.isScarce(admission.workspace);
+    const preparesConcurrently = !this.dependencies.rates.isOverRate(admission.workspace);
     const pendingTurn = preparesConcurrently ? this.prepare(request, lifetime) : undefined;
     const rateAdmission = await pendingRateAdmission;
     if (rateAdmission.err) {
@@ -170,7 +174,7 @@
       ? await this.serveTurn(prepared.val, sink, lifetime)
       : ({ error: prepared.val, kind: 'failed' } as const);
     if (hasNotRun(outcome)) {
-      rateAdmission.val.giveBack();
+      rateAdmission.val.refund();
     }
     return outcome;
   }
@@ -198,11 +202,11 @@
 
   private async serveTurn(
     { draft, request, reservation }: PreparedTurn,
-    sink: AnswerSink,
+    sink: ResponseSink,
     lifetime: RequestLifetime,
   ): Promise<RunOutcome> {
-    if (reservation?.beginsProgram === true) {
-      this.dependencies.rates.noteBeginning();
+    if (reservation?.startsProgram === true) {
+      this.dependencies.rates.recordProgramStart();
     }
     const recorder = new TurnRecorder(reservation, draft, lifetime.signal);
     lifetime.recordAdmission(this.timers.now());
@@ -247,7 +251,7 @@
 
   private finish(
     incoming: IncomingRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
     lifetime: RequestLifetime,
     outcome: RunOutcome,
   ): void {
@@ -277,11 +281,11 @@
 
   private finishAborted(
     incoming: IncomingRequest,
-    sink: AnswerSink,
+    sink: ResponseSink,
     lifetime: RequestLifetime,
     mayHaveRun: boolean,
   ): void {
-    if (!lifetime.isAwaited()) {
+    if (!lifetime.isCallerWaiting()) {
       this.recordEnd(incoming, 'caller-left', { mayHaveRun });
       sink.abort();
       return;
@@ -295,7 +299,7 @@
     this.refuse(incoming, sink, new ZincringError(kind));
   }
 
-  private refuse(incoming: IncomingRequest, sink: AnswerSink, error: ZincringError): void {
+  private refuse(incoming: IncomingRequest, sink: ResponseSink, error: ZincringError): void {
     const retryAfter = this.retryAfterSeconds(error);
     this.recordEnd(incoming, 'refused', {
       detail: error.detail,
@@ -308,8 +312,11 @@
       sink.abort();
       return;
     }
-    const headers = this.dependencies.wire.ownHeaders(incoming.facts.requestId, retryAfter);
-    sink.sendWhole(error.status, headers, Buffer.from(JSON.stringify(error.toReport())));
+    const headers = this.dependencies.headerCodec.errorHeaders(
+      incoming.facts.requestId,
+      retryAfter,
+    );
+    sink.send(error.status, headers, Buffer.from(JSON.stringify(error.toReport())));
   }
 
   private retryAfterSeconds({ kind, retryAfterSeconds }: ZincringError): number | undefined {
--- a/packages/gateway/src/callers/answerSink.ts
+++ b/packages/gateway/src/callers/responseSink.ts
@@ -1,11 +1,11 @@
 /** Destination of the response to one request. Header lists are flat: name, value, name, value. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** Whether the head of the response has been written. */
   readonly isStarted: boolean;
   /** Sends a complete response. */
-  sendWhole(status: number, headers: readonly string[], body: Buffer): void;
+  send(status: number, headers: readonly string[], body: Buffer): void;
   /** Starts a response whose body follows in chunks. */
-  open(status: number, headers: readonly string[]): void;
+  startStream(status: number, headers: readonly string[]): void;
   /** Writes a chunk of the body and waits while the caller is slow to read. */
   write(bytes: Buffer): Promise<void>;
   /** Ends a complete body. */
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,11 +1,11 @@
 export type {
-  AnswerFacts,
+  ResponseFacts,
   PromptPart,
   PromptPartId,
   RequestFacts,
   RequestId,
-  RequestWire,
-  SendingFacts,
+  HeaderCodec,
+  AttemptFacts,
   SessionId,
   TurnId,
 } from './callers/requestFacts.js';
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -3,7 +3,7 @@
 
 import { sleep } from '@zincring/core';
 
-import type { RequestWire } from '../callers/requestFacts.js';
+import type { HeaderCodec } from '../callers/requestFacts.js';
 import type { ConfigurationSource } from '../configuration/configurationFollower.js';
 import type { ReplicaEntry } from '../upstreams/replica.js';
 import type { ReplicaSource } from '../upstreams/replicaDirectory.js';
@@ -13,12 +13,15 @@
 import { RequestPipeline } from '../callers/requestPipeline.js';
 import { ConfigurationFollower } from '../configuration/configurationFollower.js';
 import { RowSweeper } from '../store/rowSweeper.js';
-import { WatchedTable } from '../store/watchedTable.js';
+import { MonitoredTable } from '../store/monitoredTable.js';
 import { WorkspaceRates } from '../limits/workspaceRates.js';
-import { KeptTurns } from '../programs/keptTurns.js';
-import { sweptTurns } from '../programs/keptTurnRows.js';
+import { TurnStore } from '../programs/turnStore.js';
+import { sweptTurns } from '../programs/storedTurnRows.js';
 import { sweptBudgets, TurnBudgets } from '../programs/turnBudgets.js';
-import { defaultDecisionLogOptions, DecisionLog } from '../observation/decisionLog.js';
+import {
+  defaultRateLimitedLoggerOptions,
+  RateLimitedLogger,
+} from '../observation/rateLimitedLogger.js';
 import { GatewayMetrics } from '../observation/gatewayMetrics.js';
 import { MetricsServer } from '../observation/metricsServer.js';
 import { CrashRecord, sweptCrashes } from '../upstreams/crashRecord.js';
@@ -32,7 +35,7 @@
 /** Dependencies of a {@link Gateway}. */
 export interface GatewayDependencies {
   readonly table: PartitionedTable;
-  readonly wire: RequestWire;
+  readonly headerCodec: HeaderCodec;
   readonly configurationSource: ConfigurationSource;
   readonly replicaSource: ReplicaSource;
   readonly timers: TimerService;
@@ -85,7 +88,7 @@
   private readonly metrics = new GatewayMetrics();
   private readonly metricsServer = new MetricsServer(this.metrics);
   private readonly logger: Logger;
-  private readonly table: WatchedTable;
+  private readonly table: MonitoredTable;
   private readonly budgets: TurnBudgets;
   /** Identifies this run of the instance as a holder of tokens and credit; unique among all runs of all instances. */
   private readonly holder: string;
@@ -100,7 +103,11 @@
     const { timers } = dependencies;
     const table = this.instrumentStore(dependencies.table, timers);
     this.table = table;
-    const logger = new DecisionLog(dependencies.logger, timers, defaultDecisionLogOptions);
+    const logger = new RateLimitedLogger(
+      dependencies.logger,
+      timers,
+      defaultRateLimitedLoggerOptions,
+    );
     this.logger = logger;
     this.times = deriveGatewayTimes(options);
     this.configuration = new ConfigurationFollower(
@@ -115,9 +122,9 @@
       },
     );
     this.replicas = new ReplicaDirectory(table, dependencies.replicaSource, timers, logger, {
-      outageMilliseconds: MINIMUM_OUTAGE_MILLISECONDS,
+      minimumOutageMilliseconds: MINIMUM_OUTAGE_MILLISECONDS,
       pauseMilliseconds: this.times.replicaPollIntervalMilliseconds,
-      returnMilliseconds: REPLICA_REREGISTRATION_MILLISECONDS,
+      registrationGraceMilliseconds: REPLICA_REREGISTRATION_MILLISECONDS,
       waitMilliseconds: REPLICA_POLL_TIMEOUT_MILLISECONDS,
     });
     this.crashes = new CrashRecord({ logger, makeId: dependencies.makeId, table, timers });
@@ -142,7 +149,7 @@
       pipeline: this.makePipeline(),
       zoneOutageDetector: this.zoneOutageDetector,
       timers,
-      headerCodec: dependencies.wire,
+      headerCodec: dependencies.headerCodec,
     });
     this.readiness = new ReadinessServer(() => this.isReady, this.zoneOutageDetector);
     this.configuration.subscribe(index => {
@@ -163,8 +170,8 @@
   private get hasStoreContact(): boolean {
     return (
       this.configuration.isFresh() &&
-      this.replicas.isKnown &&
-      this.table.silenceMilliseconds() < MAXIMUM_STORE_SILENCE_MILLISECONDS
+      this.replicas.isLoaded &&
+      this.table.millisecondsSinceAnswer() < MAXIMUM_STORE_SILENCE_MILLISECONDS
     );
   }
 
@@ -219,8 +226,8 @@
     this.logger.info({ event: 'stopped', underWay: this.server.requestsInFlight }, 'stopped');
   }
 
-  private instrumentStore(table: PartitionedTable, timers: TimerService): WatchedTable {
-    return new WatchedTable(table, timers, (call, name, isAnswered, milliseconds) => {
+  private instrumentStore(table: PartitionedTable, timers: TimerService): MonitoredTable {
+    return new MonitoredTable(table, timers, (call, name, isAnswered, milliseconds) => {
       const outcome = isAnswered ? 'answered' : 'failed';
       this.metrics.storeCalls.inc({ call, outcome, table: name });
       if (call !== 'changes') {
@@ -231,12 +238,12 @@
 
   private makePipeline(): RequestPipeline {
     const { budgets, logger, table } = this;
-    const { random, timers, wire: headerCodec } = this.dependencies;
+    const { random, timers, headerCodec: headerCodec } = this.dependencies;
     return new RequestPipeline({
       budgets,
       configuration: this.configuration,
       crashes: this.crashes,
-      keptTurns: new KeptTurns({ logger, rowBytes: this.options.rowBytes, table, timers }),
+      keptTurns: new TurnStore({ logger, rowBytes: this.options.rowBytes, table, timers }),
       logger,
       metrics: this.metrics,
       pool: this.pool,
@@ -250,7 +257,7 @@
       }),
       zoneOutageDetector: this.zoneOutageDetector,
       timers,
-      wire: headerCodec,
+      headerCodec: headerCodec,
     });
   }
 
--- a/packages/gateway/src/limits/workspaceRates.ts
+++ b/packages/gateway/src/limits/workspaceRates.ts
@@ -4,7 +4,7 @@
 import { Err, hash32, Ok, ZincringError } from '@zincring/core';
 
 import type { GatewayWorkspace } from '../configuration/gatewayConfiguration.js';
-import type { WatchedTable } from '../store/watchedTable.js';
+import type { MonitoredTable } from '../store/monitoredTable.js';
 import type { KnownRow } from '../store/editRow.js';
 import type { CreditOutcome } from './workspaceCredit.js';
 import type { CreditGrant, RateLimit, WorkspaceBucket } from './workspaceBucket.js';
@@ -18,12 +18,12 @@
 /** Admission of a request within the rate of its workspace. */
 export interface RateAdmission {
   /** Refunds the credit of a request that did not run. */
-  giveBack(): void;
+  refund(): void;
 }
 
 /** Dependencies of a {@link WorkspaceRates}. */
 export interface WorkspaceRatesDependencies {
-  readonly table: WatchedTable;
+  readonly table: MonitoredTable;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly instance: InstanceId;
@@ -73,7 +73,7 @@
 /** Maximum number of store failures after which one draw is retried. */
 const MAXIMUM_STORE_FAILURES = 2;
 
-const unlimitedAdmission: RateAdmission = { giveBack: () => undefined };
+const unlimitedAdmission: RateAdmission = { refund: () => undefined };
 
 /**
  * Admits requests within the rate and burst that a workspace has over all instances. The store
@@ -124,7 +124,7 @@
   }
 
   /** Whether a workspace recently used more than its rate, as far as this instance knows. */
-  public isScarce(workspace: GatewayWorkspace | undefined): boolean {
+  public isOverRate(workspace: GatewayWorkspace | undefined): boolean {
     return (
       workspace !== undefined &&
       workspace.ratePerSecond > 0 &&
@@ -157,7 +157,7 @@
   }
 
   /** Records the first turn of a program at this instance. */
-  public noteBeginning(): void {
+  public recordProgramStart(): void {
     this.programSizeEstimator.recordProgramStart();
   }
 
@@ -174,7 +174,7 @@
     if (credit.deniedUntil > this.dependencies.timers.now()) {
       return Err(this.createRateLimitedError(credit));
     }
-    const outcome = this.dependencies.table.isAway
+    const outcome = this.dependencies.table.isUnavailable
       ? 'unknown'
       : await this.waitForCredit(state, signal);
     switch (outcome) {
@@ -394,7 +394,7 @@
 
 function createAdmission(credit: WorkspaceCredit): RateAdmission {
   return {
-    giveBack: () => {
+    refund: () => {
       credit.refund();
     },
   };
--- a/packages/gateway/src/observation/decisionLog.ts
+++ b/packages/gateway/src/observation/rateLimitedLogger.ts
@@ -1,7 +1,7 @@
 import type { LogFields, Logger, TimerService } from '@zincring/core';
 
-/** Bounds of a {@link DecisionLog}, in lines per second. */
-export interface DecisionLogOptions {
+/** Bounds of a {@link RateLimitedLogger}, in lines per second. */
+export interface RateLimitedLoggerOptions {
   /** Bound on lines of level `info`; further ones are dropped. */
   readonly infoLinesPerSecond: number;
   /** Bound on warnings and errors: far above the rate at which a healthy instance writes them. */
@@ -9,7 +9,7 @@
 }
 
 /** Options that keep the log of an instance below some hundred kilobytes per second in the worst case. */
-export const defaultDecisionLogOptions: DecisionLogOptions = {
+export const defaultRateLimitedLoggerOptions: RateLimitedLoggerOptions = {
   failureLinesPerSecond: 200,
   infoLinesPerSecond: 40,
 };
@@ -42,7 +42,7 @@
  * @example
  * const log = new DecisionLog(createLogger('info'), timers, defaultDecisionLogOptions);
  */
-export class DecisionLog implements Logger {
+export class RateLimitedLogger implements Logger {
   private readonly infoLimiter: LineLimiter;
   private readonly failureLimiter: LineLimiter;
   private droppedLines = { failures: 0, usual: 0 };
@@ -50,7 +50,7 @@
   public constructor(
     private readonly inner: Logger,
     private readonly timers: TimerService,
-    private readonly options: DecisionLogOptions,
+    private readonly options: RateLimitedLoggerOptions,
   ) {
     this.infoLimiter = new LineLimiter(options.infoLinesPerSecond);
     this.failureLimiter = new LineLimiter(options.failureLinesPerSecond);
@@ -88,7 +88,7 @@
   }
 
   public child(fields: LogFields): Logger {
-    return new DecisionLog(this.inner.child(fields), this.timers, this.options);
+    return new RateLimitedLogger(this.inner.child(fields), this.timers, this.options);
   }
 
   private reportDroppedLines(): void {
--- a/packages/gateway/src/programs/programBudget.ts
+++ b/packages/gateway/src/programs/programBudget.ts
@@ -2,7 +2,7 @@
 import type { RowAddress } from '@zincring/platform';
 
 import type { EditedRow, KnownRow, RowEdit } from '../store/editRow.js';
-import type { WatchedTable } from '../store/watchedTable.js';
+import type { MonitoredTable } from '../store/monitoredTable.js';
 import type { BudgetAccount, BudgetDemand, BudgetGrant } from './budgetRow.js';
 
 import { absentRow, editRow, readRow } from '../store/editRow.js';
@@ -16,7 +16,7 @@
 
 /** Dependencies of a {@link ProgramBudget}. */
 export interface ProgramBudgetDependencies {
-  readonly table: WatchedTable;
+  readonly table: MonitoredTable;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly random: () => number;
@@ -125,7 +125,7 @@
       this.startTurn(demand.maximumTokens);
       return 'held-ahead';
     }
-    if (this.dependencies.table.isAway) {
+    if (this.dependencies.table.isUnavailable) {
       return 'unknown';
     }
     return await new Promise(resolve => {
--- a/packages/gateway/src/programs/turnBudgets.ts
+++ b/packages/gateway/src/programs/turnBudgets.ts
@@ -19,7 +19,7 @@
   /** Number of tokens that one event of the stream represents. */
   readonly tokensPerEvent: number;
   /** Whether this is the first turn of the program at any instance. */
-  readonly beginsProgram: boolean;
+  readonly startsProgram: boolean;
 }
 
 /** Table of the token accounts. */
@@ -89,7 +89,7 @@
       return Err(refusal);
     }
     return Ok({
-      beginsProgram: program.hasOnlyFirstTurn,
+      startsProgram: program.hasOnlyFirstTurn,
       settle: deliveredTokens => {
         program.settle(demand.maximumTokens, deliveredTokens);
       },
@@ -98,7 +98,7 @@
   }
 
   /** Whether a request is the first turn of its program at any instance. */
-  public async beginsProgram(request: RunnableRequest): Promise<boolean> {
+  public async startsProgram(request: RunnableRequest): Promise<boolean> {
     const { facts, route } = request;
     if (route.kind !== 'streaming' || facts.programId === undefined) {
       return false;
--- a/packages/gateway/src/programs/turnRecorder.ts
+++ b/packages/gateway/src/programs/turnRecorder.ts
@@ -1,5 +1,5 @@
-import type { StreamObserver } from '../callers/answerSink.js';
-import type { KeptTurnDraft } from './keptTurns.js';
+import type { StreamObserver } from '../callers/responseSink.js';
+import type { TurnDraft } from './turnStore.js';
 import type { BudgetReservation } from './turnBudgets.js';
 
 /**
@@ -13,7 +13,7 @@
 
   public constructor(
     private readonly reservation: BudgetReservation | undefined,
-    private readonly draft: KeptTurnDraft | undefined,
+    private readonly draft: TurnDraft | undefined,
     private readonly signal: AbortSignal,
   ) {}
 
--- a/packages/gateway/src/programs/keptTurns.ts
+++ b/packages/gateway/src/programs/turnStore.ts
@@ -6,13 +6,13 @@
 
 import type { TurnId } from '../callers/requestFacts.js';
 import type { RunnableRequest } from '../upstreams/attemptLoop.js';
-import type { WatchedTable } from '../store/watchedTable.js';
-import type { StoredTurn } from './keptTurnRows.js';
+import type { MonitoredTable } from '../store/monitoredTable.js';
+import type { StoredTurn } from './storedTurnRows.js';
 
-import { decodeTurn, encodeTurn, isChunkOf, TURN_TABLE, turnPartitions } from './keptTurnRows.js';
+import { decodeTurn, encodeTurn, isChunkOf, TURN_TABLE, turnPartitions } from './storedTurnRows.js';
 
 /** A turn in progress that is stored when it ends. */
-export interface KeptTurnDraft {
+export interface TurnDraft {
   /** Appends the data of the next event. */
   addOutput(data: Buffer): void;
   /** Stores the turn; `false` if the store has not confirmed it when the signal aborts. */
@@ -24,12 +24,12 @@
   /** Body to send to the replica. */
   readonly body: Buffer;
   /** Collects the turn; `undefined` if the turn is not to be stored. */
-  readonly turn: KeptTurnDraft | undefined;
+  readonly turn: TurnDraft | undefined;
 }
 
 /** Dependencies of the turn store. */
 export interface TurnStoreDependencies {
-  readonly table: WatchedTable;
+  readonly table: MonitoredTable;
   readonly timers: TimerService;
   readonly logger: Logger;
   /** Maximum size of a row, in bytes. */
@@ -53,7 +53,7 @@
  * @example
  * const composed = await turnStore.compose(request, signal);
  */
-export class KeptTurns {
+export class TurnStore {
   private readonly cache = new LRUCache<TurnId, StoredTurn>({
     maxSize: CACHE_BYTES,
     sizeCalculation: turn => turn.input.length + turn.output.length + 200,
@@ -123,7 +123,7 @@
     let failure = 'the store is away';
     for (
       let attempts = 0;
-      attempts < MAXIMUM_READS && !signal.aborted && !this.dependencies.table.isAway;
+      attempts < MAXIMUM_READS && !signal.aborted && !this.dependencies.table.isUnavailable;
       attempts++
     ) {
       const rows = await this.readRows(id);
@@ -150,7 +150,7 @@
     return page.ok ? Ok(page.val.rows.filter(row => isChunkOf(id, row.key))) : page;
   }
 
-  private createDraft(request: RunnableRequest, chain: Chain): KeptTurnDraft | undefined {
+  private createDraft(request: RunnableRequest, chain: Chain): TurnDraft | undefined {
     const { facts, route, workspace } = request;
     if (facts.requestId === undefined) {
       return undefined;
--- a/packages/gateway/src/store/watchedTable.ts
+++ b/packages/gateway/src/store/monitoredTable.ts
@@ -36,7 +36,7 @@
  * const table = new WatchedTable(store, timers);
  * if (table.isAway) { return refusal; }
  */
-export class WatchedTable implements PartitionedTable {
+export class MonitoredTable implements PartitionedTable {
   private consecutiveFailures = 0;
   private lastAnswerAt: number;
 
@@ -49,7 +49,7 @@
   }
 
   /** Whether recent calls failed and the store has not answered for some time. */
-  public get isAway(): boolean {
+  public get isUnavailable(): boolean {
     return (
       this.consecutiveFailures >= FAILURES_UNTIL_UNAVAILABLE &&
       this.timers.now() - this.lastAnswerAt >= SILENCE_UNTIL_UNAVAILABLE_MILLISECONDS
@@ -57,13 +57,13 @@
   }
 
   /** Time since the last answer of the store, in milliseconds. */
-  public silenceMilliseconds(): number {
+  public millisecondsSinceAnswer(): number {
     return this.timers.now() - this.lastAnswerAt;
   }
 
   /** Retry delay for a caller whose request failed because the store did not answer, in seconds. */
   public get retryAfterSeconds(): number {
-    return this.isAway ? UNAVAILABLE_RETRY_SECONDS : OVERLOADED_RETRY_SECONDS;
+    return this.isUnavailable ? UNAVAILABLE_RETRY_SECONDS : OVERLOADED_RETRY_SECONDS;
   }
 
   public async read(request: RangeRequest): Promise<Result<RangePage, PlatformError>> {
--- a/packages/gateway/src/upstreams/attemptLoop.ts
+++ b/packages/gateway/src/upstreams/attemptLoop.ts
@@ -2,8 +2,8 @@
 
 import { ZincringError } from '@zincring/core';
 
-import type { AnswerSink, StreamObserver } from '../callers/answerSink.js';
-import type { RequestFacts, RequestWire } from '../callers/requestFacts.js';
+import type { ResponseSink, StreamObserver } from '../callers/responseSink.js';
+import type { RequestFacts, HeaderCodec } from '../callers/requestFacts.js';
 import type { GatewayRoute, GatewayService } from '../configuration/gatewayConfiguration.js';
 import type { GatewayMetrics } from '../observation/gatewayMetrics.js';
 import type { CrashRecord } from './crashRecord.js';
@@ -36,7 +36,7 @@
   /** Aborts the attempt in progress. */
   readonly signal: AbortSignal;
   /** Whether the caller is still waiting; no further attempt is made for a caller that has disconnected. */
-  isAwaited(): boolean;
+  isCallerWaiting(): boolean;
 }
 
 /** Outcome of a request. */
@@ -53,11 +53,11 @@
     };
 
 /** Dependencies of an {@link AttemptLoop}. */
-export interface AttemptParts {
+export interface AttemptLoopDependencies {
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly pool: ReplicaPool;
-  readonly wire: RequestWire;
+  readonly headerCodec: HeaderCodec;
   readonly crashes: CrashRecord;
   readonly metrics: GatewayMetrics;
 }
@@ -91,9 +91,9 @@
   private forwardedEvents = 0;
 
   public constructor(
-    private readonly dependencies: AttemptParts,
+    private readonly dependencies: AttemptLoopDependencies,
     private readonly request: RunnableRequest,
-    private readonly sink: AnswerSink,
+    private readonly sink: ResponseSink,
     private readonly observer: StreamObserver | undefined,
     private readonly control: RequestControl,
   ) {
@@ -132,7 +132,7 @@
   }
 
   private isCancelled(): boolean {
-    return this.control.signal.aborted || !this.control.isAwaited();
+    return this.control.signal.aborted || !this.control.isCallerWaiting();
   }
 
   private chooseReplica(): ReplicaEntry | undefined {
@@ -193,7 +193,7 @@
   private replicaHeaders(entry: ReplicaEntry): string[] {
     const { body, deadline, headers, method, urgency, workspace } = this.request;
     const hasBody = body.length > 0 || method === 'POST' || method === 'PUT' || method === 'PATCH';
-    return this.dependencies.wire.toReplicaHeaders(headers, {
+    return this.dependencies.headerCodec.toReplicaHeaders(headers, {
       contentLength: hasBody ? body.length : undefined,
       lastEventId: this.lastEventId,
       remainingMilliseconds: Math.max(1, Math.floor(deadline - this.dependencies.timers.now())),
@@ -214,13 +214,13 @@
         if (outcome.kind === 'lost') {
           this.dependencies.crashes.record(this.request, entry);
         }
-      } else if (this.control.isAwaited()) {
+      } else if (this.control.isCallerWaiting()) {
         loads.recordEnd(entry, 'failed');
       }
       return outcome.kind === 'lost' ? outcome : { kind: 'not-run', reason: outcome.reason };
     }
     const { answer } = outcome;
-    const facts = this.dependencies.wire.readAnswer(answer.status, answer.headers);
+    const facts = this.dependencies.headerCodec.readResponse(answer.status, answer.headers);
     if (facts.requestId !== this.request.facts.requestId && !facts.isNotExecuted) {
       answer.discard();
       return { kind: 'lost', reason: 'the answer belongs to another request' };
@@ -230,7 +230,7 @@
       loads.recordEnd(entry, answer.status === 421 ? 'misdirected' : 'full');
       return { kind: 'not-run', reason: `the replica refused with ${String(answer.status)}` };
     }
-    if (isSuccess(answer.status) && (!facts.isSealed || facts.isEncoded)) {
+    if (isSuccess(answer.status) && (!facts.hasServerStamp || facts.isEncoded)) {
       answer.discard();
       return { kind: 'lost', reason: 'the answer does not bear the seal of the replica' };
     }
@@ -256,8 +256,8 @@
     if (this.control.signal.aborted) {
       return { kind: 'lost', reason: 'the caller left or the time ran out' };
     }
-    const headers = this.dependencies.wire.toCallerHeaders(answer.headers);
-    this.sink.sendWhole(answer.status, headers, body);
+    const headers = this.dependencies.headerCodec.toCallerHeaders(answer.headers);
+    this.sink.send(answer.status, headers, body);
     return { kind: 'served', status: answer.status };
   }
 
@@ -265,7 +265,10 @@
     const end = await relayStream(answer, {
       onEvent: async event => {
         if (!this.sink.isStarted) {
-          this.sink.open(answer.status, this.dependencies.wire.toCallerHeaders(answer.headers));
+          this.sink.startStream(
+            answer.status,
+            this.dependencies.headerCodec.toCallerHeaders(answer.headers),
+          );
         }
         this.lastEventId = event.id ?? this.lastEventId;
         this.forwardedEvents++;
@@ -281,7 +284,10 @@
       return { kind: 'lost', reason: 'the turn could not be kept' };
     }
     if (!this.sink.isStarted) {
-      this.sink.open(answer.status, this.dependencies.wire.toCallerHeaders(answer.headers));
+      this.sink.startStream(
+        answer.status,
+        this.dependencies.headerCodec.toCallerHeaders(answer.headers),
+      );
     }
     this.sink.end();
     return { kind: 'served', status: answer.status };
--- a/packages/gateway/src/upstreams/readBody.ts
+++ b/packages/gateway/src/upstreams/readBody.ts
@@ -1,6 +1,6 @@
 import type { ReplicaAnswer } from './replicaExchange.js';
 
-import { readWithin } from '../util/readWithin.js';
+import { readBoundedBody } from '../util/readBoundedBody.js';
 
 /**
  * Reads the complete body of an answer; `undefined` if it is truncated or too large.
@@ -12,7 +12,7 @@
   answer: ReplicaAnswer,
   maximumBytes: number,
 ): Promise<Buffer | undefined> {
-  const body = await readWithin(answer.body, maximumBytes);
+  const body = await readBoundedBody(answer.body, maximumBytes);
   if (body.ok) {
     return body.val;
   }
--- a/packages/gateway/src/upstreams/replicaDirectory.ts
+++ b/packages/gateway/src/upstreams/replicaDirectory.ts
@@ -19,9 +19,9 @@
   /** Pause between polls while entries change, in milliseconds. */
   readonly pauseMilliseconds: number;
   /** Grace period after an outage of the store in which replicas may register again, in milliseconds. */
-  readonly returnMilliseconds: number;
+  readonly registrationGraceMilliseconds: number;
   /** Minimum time without contact to the store that counts as an outage, in milliseconds. */
-  readonly outageMilliseconds: number;
+  readonly minimumOutageMilliseconds: number;
 }
 
 /** A change of the directory. */
@@ -80,7 +80,7 @@
   }
 
   /** Whether the registered replicas have been read at least once. */
-  public get isKnown(): boolean {
+  public get isLoaded(): boolean {
     return this.hasSnapshot;
   }
 
@@ -118,8 +118,8 @@
 
   private applySnapshot(rows: readonly PartitionedRow[]): void {
     const now = this.timers.now();
-    if (this.hasSnapshot && this.ageMilliseconds() > this.options.outageMilliseconds) {
-      this.graceUntil = now + this.options.returnMilliseconds;
+    if (this.hasSnapshot && this.ageMilliseconds() > this.options.minimumOutageMilliseconds) {
+      this.graceUntil = now + this.options.registrationGraceMilliseconds;
     }
     this.hasSnapshot = true;
     const present = new Set(rows.map(row => row.key as UpstreamId));
--- a/packages/gateway/src/util/readWithin.ts
+++ b/packages/gateway/src/util/readBoundedBody.ts
@@ -13,7 +13,7 @@
  * @example
  * const body = await readWithin(request, 4_194_304);
  */
-export async function readWithin(
+export async function readBoundedBody(
   message: IncomingMessage,
   maximumBytes: number,
 ): Promise<Result<Buffer, BodyReadFailure>> {
--- a/packages/gateway/tests/configuration/configurationFollower.test.ts
+++ b/packages/gateway/tests/configuration/configurationFollower.test.ts
@@ -99,12 +99,12 @@
   });
 
   it('applies a key withdrawal even if the feed misses one second of changes', async () => {
-    store.faults.hasDeafFeeds = true;
+    store.faults.feedsMissChanges = true;
     const withoutKey = sampleConfiguration(8, { workspaces: [sampleWorkspace({ keys: [] })] });
     store.put(configurationAddress, withoutKey);
     await timers.advance(1_000);
     store.compact();
-    store.faults.hasDeafFeeds = false;
+    store.faults.feedsMissChanges = false;
     await timers.advance(2_500);
     expect(follower.current?.findWorkspace('key-of-clerks')).toBeUndefined();
   });
--- a/packages/gateway/tests/limits/workspaceRates.test.ts
+++ b/packages/gateway/tests/limits/workspaceRates.test.ts
@@ -6,7 +6,7 @@
 import type { GatewayWorkspace } from '../../src/configuration/gatewayConfiguration.js';
 
 import { WorkspaceRates } from '../../src/limits/workspaceRates.js';
-import { WatchedTable } from '../../src/store/watchedTable.js';
+import { MonitoredTable } from '../../src/store/monitoredTable.js';
 import { makeRandom } from '../support/makeRandom.js';
 import { MemoryTable } from '../support/memoryTable.js';
 import { sampleWorkspace } from '../support/samples.js';
@@ -63,7 +63,7 @@
       instance: `entry-${String(number)}` as InstanceId,
       logger: silentLogger,
       random: makeRandom(number + seed),
-      table: new WatchedTable(store.client(), timers),
+      table: new MonitoredTable(store.client(), timers),
       timers,
     });
   }
@@ -218,7 +218,7 @@
   it.each([40, 70])(
     'makes less than one store call per program request over 83 instances at a rate of %i per second',
     async ratePerSecond => {
-      store.faults.latency = 15;
+      store.faults.latencyMilliseconds = 15;
       const workspace = sampleWorkspace({ burst: ratePerSecond, ratePerSecond });
       const { requests, refused, slow } = await runProgramLoad(makeInstances(83), workspace, 30);
       expect(store.calls / requests).toBeLessThan(1);
@@ -230,10 +230,10 @@
 
   it('does not admit waiting requests on a grant whose answer arrives late', async () => {
     const workspace = sampleWorkspace({ burst: 1, ratePerSecond: 0.01 });
-    store.faults.latency = 50;
+    store.faults.latencyMilliseconds = 50;
     const admission = makeInstance(1).admit(workspace, signal, doesNotStartProgram);
     await timers.advance(20);
-    store.faults.latency = 650;
+    store.faults.latencyMilliseconds = 650;
     await timers.advance(2_000);
     expect((await admission).ok).toBe(false);
   });
@@ -335,7 +335,7 @@
           return;
         }
         if (call === 0) {
-          instance.noteBeginning();
+          instance.recordProgramStart();
         }
         await sleep(timers, 150);
       }
@@ -389,7 +389,7 @@
     const admission = await first;
     expect(admission.ok).toBe(true);
     if (admission.ok) {
-      admission.val.giveBack();
+      admission.val.refund();
     }
     expect((await rates.admit({ ...workspace }, signal, doesNotStartProgram)).ok).toBe(true);
   });
--- a/packages/gateway/tests/observation/decisionLog.test.ts
+++ b/packages/gateway/tests/observation/rateLimitedLogger.test.ts
@@ -1,14 +1,14 @@
 import { createLogger, ManualTimerService } from '@zincring/core';
 import { beforeEach, describe, expect, it } from 'vitest';
 
-import { DecisionLog } from '../../src/observation/decisionLog.js';
+import { RateLimitedLogger } from '../../src/observation/rateLimitedLogger.js';
 
 const OPTIONS = { failureLinesPerSecond: 20, infoLinesPerSecond: 10 };
 
-describe(DecisionLog, () => {
+describe(RateLimitedLogger, () => {
   let timers: ManualTimerService;
   let lines: { event?: string; usual?: number; failures?: number }[];
-  let log: DecisionLog;
+  let log: RateLimitedLogger;
 
   beforeEach(() => {
     timers = new ManualTimerService();
@@ -18,7 +18,7 @@
       {},
       { write: line => lines.push(JSON.parse(line) as object) },
     );
-    log = new DecisionLog(logger, timers, OPTIONS);
+    log = new RateLimitedLogger(logger, timers, OPTIONS);
   });
 
   it('writes every line below its bounds', async () => {
--- a/packages/gateway/tests/programs/turnBudgets.test.ts
+++ b/packages/gateway/tests/programs/turnBudgets.test.ts
@@ -7,7 +7,7 @@
 
 import { TurnBudgets } from '../../src/programs/turnBudgets.js';
 import { makeRandom } from '../support/makeRandom.js';
-import { WatchedTable } from '../../src/store/watchedTable.js';
+import { MonitoredTable } from '../../src/store/monitoredTable.js';
 import { finishWithin } from '../support/finishWithin.js';
 import { MemoryTable } from '../support/memoryTable.js';
 import { sampleRoute, sampleTurn } from '../support/samples.js';
@@ -32,7 +32,7 @@
       holder: `entry-${String(seed)}`,
       logger: silentLogger,
       random: makeRandom(seed),
-      table: new WatchedTable(store.client(), timers),
+      table: new MonitoredTable(store.client(), timers),
       timers,
     });
   }
--- a/packages/gateway/tests/programs/turnStore.test.ts
+++ b/packages/gateway/tests/programs/turnStore.test.ts
@@ -4,17 +4,17 @@
 import { beforeEach, describe, expect, it } from 'vitest';
 
 import type { RequestId, TurnId } from '../../src/callers/requestFacts.js';
-import type { ComposedRequest } from '../../src/programs/keptTurns.js';
+import type { ComposedRequest } from '../../src/programs/turnStore.js';
 
-import { KeptTurns } from '../../src/programs/keptTurns.js';
-import { WatchedTable } from '../../src/store/watchedTable.js';
+import { TurnStore } from '../../src/programs/turnStore.js';
+import { MonitoredTable } from '../../src/store/monitoredTable.js';
 import { finishWithin } from '../support/finishWithin.js';
 import { MemoryTable } from '../support/memoryTable.js';
 import { sampleRoute, sampleTurn } from '../support/samples.js';
 
 const ROW_BYTES = 65_536;
 
-describe(KeptTurns, () => {
+describe(TurnStore, () => {
   let timers: ManualTimerService;
   let store: MemoryTable;
   const signal = new AbortController().signal;
@@ -24,11 +24,11 @@
     store = new MemoryTable(timers);
   });
 
-  function makeInstance(): KeptTurns {
-    return new KeptTurns({
+  function makeInstance(): TurnStore {
+    return new TurnStore({
       logger: silentLogger,
       rowBytes: ROW_BYTES,
-      table: new WatchedTable(store.client(), timers),
+      table: new MonitoredTable(store.client(), timers),
       timers,
     });
   }
@@ -38,7 +38,7 @@
   }
 
   async function compose(
-    instance: KeptTurns,
+    instance: TurnStore,
     id: string,
     input: string,
     previous?: string,
@@ -57,7 +57,7 @@
   }
 
   async function runTurn(
-    instance: KeptTurns,
+    instance: TurnStore,
     id: string,
     input: string,
     outputs: readonly string[],
--- a/packages/gateway/tests/store/partitionSet.test.ts
+++ b/packages/gateway/tests/store/partitionSet.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import { turnPartitions } from '../../src/programs/keptTurnRows.js';
+import { turnPartitions } from '../../src/programs/storedTurnRows.js';
 import { budgetPartitions } from '../../src/programs/turnBudgets.js';
 import { PartitionSet } from '../../src/store/partitionSet.js';
 
--- a/packages/gateway/tests/store/rowSweeper.test.ts
+++ b/packages/gateway/tests/store/rowSweeper.test.ts
@@ -3,7 +3,7 @@
 
 import type { TurnId } from '../../src/callers/requestFacts.js';
 
-import { encodeTurn, sweptTurns, TURN_TABLE } from '../../src/programs/keptTurnRows.js';
+import { encodeTurn, sweptTurns, TURN_TABLE } from '../../src/programs/storedTurnRows.js';
 import { sweptBudgets } from '../../src/programs/turnBudgets.js';
 import { RowSweeper } from '../../src/store/rowSweeper.js';
 import { finishWithin } from '../support/finishWithin.js';
--- a/packages/gateway/tests/support/gatewayFixture.ts
+++ b/packages/gateway/tests/support/gatewayFixture.ts
@@ -137,7 +137,7 @@
       replicaSource: sampleReplicaSource,
       table: wrapTable(store.client()),
       timers: new SystemTimerService(),
-      wire: plainHeaderCodec,
+      headerCodec: plainHeaderCodec,
     },
   );
   await gateway.start();
--- a/packages/gateway/tests/support/memoryTable.ts
+++ b/packages/gateway/tests/support/memoryTable.ts
@@ -24,9 +24,9 @@
   /** Transactions take effect, but their responses are lost. */
   losesAnswers: boolean;
   /** Requests for changes return none although there are some. */
-  hasDeafFeeds: boolean;
+  feedsMissChanges: boolean;
   /** Delay before each call takes effect, in milliseconds. */
-  latency: number;
+  latencyMilliseconds: number;
 }
 
 /** Time after which a client gives up on a call without a response, in milliseconds. */
@@ -35,10 +35,10 @@
 /** In-memory store on a manual clock, with faults that tests switch on and off. */
 export class MemoryTable {
   public readonly faults: StoreFaults = {
-    hasDeafFeeds: false,
+    feedsMissChanges: false,
     isRefusing: false,
     isSilent: false,
-    latency: 5,
+    latencyMilliseconds: 5,
     losesAnswers: false,
   };
   /** Number of calls by all clients. */
@@ -122,7 +122,7 @@
       const changes = this.history.filter(
         change => versionOf(change) > after && change.row.table === table,
       );
-      if (changes.length > 0 && !faults.hasDeafFeeds) {
+      if (changes.length > 0 && !faults.feedsMissChanges) {
         return Ok({ changes, kind: 'changes' });
       }
       await sleep(this.timers, 10);
@@ -173,7 +173,7 @@
       await sleep(this.timers, CLIENT_TIMEOUT_MILLISECONDS);
       return new PlatformError(failure, 'no answer');
     }
-    await sleep(this.timers, faults.latency);
+    await sleep(this.timers, faults.latencyMilliseconds);
     return undefined;
   }
 
--- a/packages/gateway/tests/support/plainHeaderCodec.ts
+++ b/packages/gateway/tests/support/plainHeaderCodec.ts
@@ -1,20 +1,20 @@
-import type { AnswerFacts, RequestFacts, RequestWire } from '../../src/callers/requestFacts.js';
+import type { ResponseFacts, RequestFacts, HeaderCodec } from '../../src/callers/requestFacts.js';
 
 import { toFields, withoutFields } from '../../src/util/headerList.js';
 import { sampleFacts } from './samples.js';
 
 /** Header codec for tests: header names in lower case, values without further encoding. */
-export const plainHeaderCodec: RequestWire = {
-  ownHeaders: (requestId, retryAfterSeconds) => [
+export const plainHeaderCodec: HeaderCodec = {
+  errorHeaders: (requestId, retryAfterSeconds) => [
     ...(requestId === undefined ? [] : ['request-id', requestId]),
     ...(retryAfterSeconds === undefined ? [] : ['retry-after', String(retryAfterSeconds)]),
   ],
-  readAnswer: (status, headers): AnswerFacts => {
+  readResponse: (status, headers): ResponseFacts => {
     const fields = toFields(headers);
     return {
       isEncoded: fields.has('content-encoding'),
       isNotExecuted: fields.has('not-executed') || status === 421,
-      isSealed: fields.has('server-stamp'),
+      hasServerStamp: fields.has('server-stamp'),
       requestId: fields.get('request-id'),
     };
   },
--- a/packages/gateway/tests/support/realTimeTable.ts
+++ b/packages/gateway/tests/support/realTimeTable.ts
@@ -26,7 +26,7 @@
   }
 
   public set latencyMilliseconds(milliseconds: number) {
-    this.inner.faults.latency = milliseconds;
+    this.inner.faults.latencyMilliseconds = milliseconds;
   }
 
   public client(): PartitionedTable {
--- a/packages/gateway/tests/upstreams/replicaDirectory.test.ts
+++ b/packages/gateway/tests/upstreams/replicaDirectory.test.ts
@@ -27,9 +27,9 @@
     timers = new ManualTimerService();
     store = new MemoryTable(timers);
     directory = new ReplicaDirectory(store.client(), sampleReplicaSource, timers, silentLogger, {
-      outageMilliseconds: 2_500,
+      minimumOutageMilliseconds: 2_500,
       pauseMilliseconds: 500,
-      returnMilliseconds: 1_900,
+      registrationGraceMilliseconds: 1_900,
       waitMilliseconds: 1_000,
     });
     store.put(addressOf('r1'), sampleReplica('r1'));
