--- a/packages/core/src/errors/errorKinds.ts
+++ b/packages/core/src/errors/errorKinds.ts
@@ -1,21 +1,21 @@
-/** Whether the work behind a failed request took effect: certainly not, possibly, or certainly. */
+/** Whether the work of a failed request took effect: possibly, certainly not or certainly. */
 export type Ran = 'maybe' | 'no' | 'yes';
 
-/** What every error of one kind has in common: the table from kind to answer. */
+/** Properties that all errors of one kind share. */
 export interface ErrorDescriptor {
-  /** HTTP status of the answer. */
+  /** HTTP status code of the response. */
   readonly status: number;
-  /** Default of {@link Ran}; a single error may be less certain, never more. */
+  /** Default of {@link Ran}; an individual error may be less certain, never more. */
   readonly ran: Ran;
-  /** When the caller may try again, in seconds; `null` when a resend cannot help. */
+  /** Delay before the caller may retry, in seconds; `null` if a retry cannot succeed. */
   readonly retryAfterSeconds: number | null;
-  /** Short text for people, without details. */
+  /** Short text for users, without details. */
   readonly text: string;
 }
 
 /**
- * The closed list of error kinds with the answer that each gets.
- * docs/CALLERS.md shows the same table.
+ * All error kinds with the response to each; no other kind exists.
+ * docs/CALLERS.md contains the same table.
  */
 export const errorKinds = {
   'bad-request': {
@@ -197,14 +197,14 @@
   },
 } as const satisfies Readonly<Record<string, ErrorDescriptor>>;
 
-/** One kind of the closed list. */
+/** One kind of error. */
 export type ErrorKind = keyof typeof errorKinds;
 
-/** Every kind, in the order of the table. */
+/** All error kinds, in the order of the table. */
 export const allErrorKinds = Object.keys(errorKinds) as readonly ErrorKind[];
 
 /**
- * Looks up what all errors of a kind have in common.
+ * Returns the properties that all errors of a kind share.
  *
  * @example
  * describeErrorKind('rate-limited').status; // 429
@@ -214,7 +214,7 @@
 }
 
 /**
- * Tells whether text names a kind of the closed list.
+ * Checks whether a text is the name of an error kind.
  *
  * @example
  * isErrorKind('rate-limited'); // true
--- a/packages/core/src/errors/zincringError.ts
+++ b/packages/core/src/errors/zincringError.ts
@@ -2,29 +2,29 @@
 
 import { describeErrorKind } from './errorKinds.js';
 
-/** Where a caller of a refused call can go on: the last turn that the program has taken. */
+/** Point from which a caller can resume after a refusal: the last accepted turn of the program. */
 export interface ResumePoint {
-  /** Number of the last turn taken. */
+  /** Number of the last accepted turn. */
   readonly turn: number;
-  /** Number of the last turn that is durable. */
+  /** Number of the last durable turn. */
   readonly durableTurn: number;
-  /** Digest of the history up to `turn`. */
+  /** Digest of the history up to and including `turn`. */
   readonly digest: string;
 }
 
-/** What may be given beside the kind. */
+/** Options of a {@link ZincringError} besides its kind. */
 export interface ZincringErrorOptions {
-  /** Details for the caller: never a key, a body or an address. */
+  /** Details for the caller; must not contain a key, a body or an address. */
   readonly detail?: string;
-  /** Overrides the kind's default. */
+  /** Overrides the default of the kind. */
   readonly ran?: Ran;
-  /** Overrides the kind's default, in seconds. */
+  /** Overrides the default of the kind, in seconds. */
   readonly retryAfterSeconds?: number | null;
-  /** Where the caller can go on. */
+  /** Point from which the caller can resume. */
   readonly resume?: ResumePoint;
 }
 
-/** The JSON answer of a refusal. */
+/** JSON form of an error, as callers and other instances receive it. */
 export interface ErrorReport {
   readonly kind: ErrorKind;
   readonly text: string;
@@ -35,7 +35,7 @@
 }
 
 /**
- * An error of the closed list.
+ * Error with one of the listed kinds, reported to callers and other instances.
  *
  * @example
  * return Err(new ZincringError('turn-conflict', { detail: 'expected turn 4, the next is 6' }));
@@ -61,17 +61,17 @@
     this.resume = options.resume;
   }
 
-  /** HTTP status of the answer. */
+  /** HTTP status code of the response. */
   public get status(): number {
     return describeErrorKind(this.kind).status;
   }
 
-  /** Restores an error that another instance reported. */
+  /** Recreates an error from the report of another instance. */
   public static fromReport(report: ErrorReport): ZincringError {
     return new ZincringError(report.kind, report);
   }
 
-  /** The form in which callers and other instances see the error. */
+  /** Converts the error to the form sent to callers and other instances. */
   public toReport(): ErrorReport {
     return {
       kind: this.kind,
@@ -85,7 +85,7 @@
 }
 
 /**
- * Wraps whatever was thrown; an unexpected error becomes the kind `internal`.
+ * Converts any thrown value to a {@link ZincringError}; an unexpected one gets the kind `internal`.
  *
  * @example
  * try { … } catch (error) { return Err(toZincringError(error)); }
--- a/packages/core/src/hashing/hash.ts
+++ b/packages/core/src/hashing/hash.ts
@@ -7,7 +7,8 @@
 const xxhash = await createXxhash();
 
 /**
- * A fast hash for placement, never for secrets: the same on every instance.
+ * Computes the 32-bit xxHash of a text, which is the same on every instance. Use it for placement,
+ * never for secrets.
  *
  * @returns an unsigned 32-bit number
  * @example
@@ -18,7 +19,7 @@
 }
 
 /**
- * Hexadecimal SHA-256 of text or bytes.
+ * Computes the SHA-256 of text or bytes as hexadecimal digits.
  *
  * @example
  * sha256Hex('abc'); // 'ba7816bf…'
@@ -28,7 +29,7 @@
 }
 
 /**
- * The form in which keys are kept.
+ * Hashes a caller's key; keys are stored only in this form.
  *
  * @example
  * const hash = hashKey(bearerToken);
@@ -49,13 +50,13 @@
   return leftBytes.length === rightBytes.length && timingSafeEqual(leftBytes, rightBytes);
 }
 
-/** Digest of the empty history: the head of the chain before the first turn of a program. */
+/** Computes the digest of an empty history, the start of a program's hash chain. */
 export function emptyHistoryDigest(programId: string): HistoryDigest {
   return sha256Hex(`program\n${programId}`) as HistoryDigest;
 }
 
 /**
- * Extends the chain of digests by one turn.
+ * Extends the hash chain of a program's history by one turn.
  *
  * @example
  * const head = extendHistoryDigest(previous, turnContent);
--- a/packages/core/src/http2/sessionManager.ts
+++ b/packages/core/src/http2/sessionManager.ts
@@ -9,48 +9,49 @@
 
 import type { TimerService, TimerSubscription } from '../time/timerService.js';
 
-/** When a connection with open streams is checked. */
+/** Options of the ping check on a connection with open streams. */
 export interface SessionCheckOptions {
-  /** Silence after which the other end is pinged, in milliseconds. */
+  /** Idle time after which the peer is pinged, and interval of the check, in milliseconds. */
   readonly intervalMilliseconds: number;
-  /** How long a ping may take before the connection counts as broken, in milliseconds. */
+  /** Maximum wait for a ping acknowledgement before the connection is closed, in milliseconds. */
   readonly timeoutMilliseconds: number;
 }
 
 /**
- * One HTTP/2 connection to an authority, made on demand, for a Connect transport. Its errors
- * are listened to for as long as it exists: an error that comes after a call has failed, as when
- * another program answers at the address, fails calls and never the process.
+ * Manages one HTTP/2 connection to an authority, opened on demand, for a Connect transport. The
+ * error listener stays for the lifetime of the connection: a late error, for example because
+ * another program listens at the address, fails calls but never becomes an uncaught exception.
  *
  * @example
  * createConnectTransport({ baseUrl, httpVersion: '2', sessionManager });
  */
 export class SessionManager {
   private session: ClientHttp2Session | undefined;
-  private checking: TimerSubscription | undefined;
+  private checkTimer: TimerSubscription | undefined;
   private openStreams = 0;
-  private heardAt = 0;
+  private lastActivityAt = 0;
 
   public constructor(
     public readonly authority: string,
     private readonly timers: TimerService,
-    private readonly check?: SessionCheckOptions,
+    private readonly checkOptions?: SessionCheckOptions,
   ) {}
 
-  /** Opens a stream; a connection that fails shows as an error of the stream. */
+  /** Opens a stream; a failed connection is reported as an error of the stream. */
   public async request(
     method: string,
     path: string,
     headers: OutgoingHttpHeaders,
     options: Omit<ClientSessionRequestOptions, 'signal'>,
   ): Promise<ClientHttp2Stream> {
-    const stream = this.usableSession().request(
+    const stream = this.getOrOpenSession().request(
       { ...headers, ':method': method, ':path': path },
       options,
     );
-    // Further streams on a silent connection must not make it look alive.
+    // Only the first open stream counts as activity: a silent connection must not appear alive
+    // because new streams are opened on it.
     if (this.openStreams++ === 0) {
-      this.heardAt = this.timers.now();
+      this.lastActivityAt = this.timers.now();
     }
     stream.once('close', () => {
       this.openStreams--;
@@ -58,31 +59,31 @@
     return await Promise.resolve(stream);
   }
 
-  /** Takes in that the other end lives. */
+  /** Records that the peer has sent data or acknowledged a ping. */
   public notifyResponseByteRead(): void {
-    this.heardAt = this.timers.now();
+    this.lastActivityAt = this.timers.now();
   }
 
   /** Closes the connection and fails its streams. */
   public abort(): void {
     this.session?.destroy();
-    this.forget();
+    this.discardSession();
   }
 
-  private usableSession(): ClientHttp2Session {
+  private getOrOpenSession(): ClientHttp2Session {
     if (this.session !== undefined && !this.session.closed && !this.session.destroyed) {
       return this.session;
     }
-    this.forget();
+    this.discardSession();
     const session = connect(this.authority);
     session.on('error', () => {
-      this.forgetIf(session);
+      this.discardIfCurrent(session);
     });
     session.on('goaway', () => {
-      this.forgetIf(session);
+      this.discardIfCurrent(session);
     });
     session.on('close', () => {
-      this.forgetIf(session);
+      this.discardIfCurrent(session);
     });
     session.unref();
     this.session = session;
@@ -91,14 +92,18 @@
   }
 
   private startChecking(session: ClientHttp2Session): void {
-    const { check } = this;
-    if (check === undefined) {
+    const { checkOptions } = this;
+    if (checkOptions === undefined) {
       return;
     }
-    this.checking = this.timers.every(check.intervalMilliseconds, () => {
-      const silence = this.timers.now() - this.heardAt;
-      if (this.openStreams > 0 && silence >= check.intervalMilliseconds && !session.connecting) {
-        this.ping(session, check.timeoutMilliseconds);
+    this.checkTimer = this.timers.every(checkOptions.intervalMilliseconds, () => {
+      const idleMilliseconds = this.timers.now() - this.lastActivityAt;
+      if (
+        this.openStreams > 0 &&
+        idleMilliseconds >= checkOptions.intervalMilliseconds &&
+        !session.connecting
+      ) {
+        this.ping(session, checkOptions.timeoutMilliseconds);
       }
     });
   }
@@ -107,24 +112,24 @@
     if (session.destroyed) {
       return;
     }
-    const limit = this.timers.after(timeoutMilliseconds, () => {
-      session.destroy(new Error('the other end does not answer'));
+    const pingTimeout = this.timers.after(timeoutMilliseconds, () => {
+      session.destroy(new Error('the peer did not acknowledge an HTTP/2 ping in time'));
     });
     session.ping(() => {
-      limit.stop();
+      pingTimeout.stop();
       this.notifyResponseByteRead();
     });
   }
 
-  private forgetIf(session: ClientHttp2Session): void {
+  private discardIfCurrent(session: ClientHttp2Session): void {
     if (this.session === session) {
-      this.forget();
+      this.discardSession();
     }
   }
 
-  private forget(): void {
-    this.checking?.stop();
-    this.checking = undefined;
+  private discardSession(): void {
+    this.checkTimer?.stop();
+    this.checkTimer = undefined;
     this.session = undefined;
   }
 }
--- a/packages/core/src/ids/brand.ts
+++ b/packages/core/src/ids/brand.ts
@@ -1,7 +1,7 @@
 declare const brandTag: unique symbol;
 
 /**
- * A nominal type: a `Value` that only the owning constructor may produce.
+ * Nominal type: a `Value` that only the code owning the type may create.
  *
  * @example
  * type Kelvin = Brand<number, 'Kelvin'>;
--- a/packages/core/src/ids/identifiers.ts
+++ b/packages/core/src/ids/identifiers.ts
@@ -1,18 +1,18 @@
 import type { Brand } from './brand.js';
 
-/** Name of a workspace, as the rules give it. */
+/** Name of a workspace, as defined in the rules. */
 export type WorkspaceName = Brand<string, 'WorkspaceName'>;
-/** Identifier of a program: opaque, unique across the fleet. */
+/** Identifier of a program: opaque and unique across the fleet. */
 export type ProgramId = Brand<string, 'ProgramId'>;
-/** Identifier of a call, chosen by the caller; it makes resends idempotent within its program. */
+/** Identifier of a call, chosen by the caller; makes resends within the program idempotent. */
 export type CallId = Brand<string, 'CallId'>;
-/** Name of an instance, stable over restarts (from its settings). */
+/** Name of an instance, taken from its settings and stable across restarts. */
 export type InstanceId = Brand<string, 'InstanceId'>;
-/** One run of one instance: the instance id and a random suffix. */
+/** Identifier of one run of one instance: the instance id with a random suffix. */
 export type IncarnationId = Brand<string, 'IncarnationId'>;
-/** Number of a shard, from 0 to the shard count less one. */
+/** Number of a shard, from 0 to the shard count minus one. */
 export type ShardId = Brand<number, 'ShardId'>;
-/** Fencing number of a shard lease; it grows with every change of holder. */
+/** Fencing token of a shard lease; increases with every change of holder. */
 export type Epoch = Brand<number, 'Epoch'>;
 /** Identifier of one upstream replica. */
 export type UpstreamId = Brand<string, 'UpstreamId'>;
@@ -22,16 +22,16 @@
 export type AvailabilityZone = Brand<string, 'AvailabilityZone'>;
 /** Hexadecimal SHA-256 of a caller's key. */
 export type KeyHash = Brand<string, 'KeyHash'>;
-/** Number of a configuration version; versions grow by one with every accepted change. */
+/** Number of a configuration version; increases by one with every accepted change. */
 export type ConfigurationVersion = Brand<number, 'ConfigurationVersion'>;
-/** Hexadecimal SHA-256 that stands for a program's whole history up to one turn. */
+/** Hexadecimal SHA-256 that identifies the complete history of a program up to one turn. */
 export type HistoryDigest = Brand<string, 'HistoryDigest'>;
 
-/** Characters and length accepted in a name or identifier that comes from outside. */
+/** Characters and length accepted in a name or identifier from outside the process. */
 const IDENTIFIER_PATTERN = /^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$/;
 
 /**
- * Tells whether text from outside may serve as a name or identifier.
+ * Checks whether a text is valid as a name or identifier.
  *
  * @example
  * isIdentifier('minutes-llm'); // true
@@ -42,7 +42,7 @@
 }
 
 /**
- * Parses the identifier of a program; `undefined` when the text is not one.
+ * Parses the identifier of a program; returns `undefined` if the text is not a valid identifier.
  *
  * @example
  * const program = parseProgramId(pathSegment);
--- a/packages/core/src/logging/logger.ts
+++ b/packages/core/src/logging/logger.ts
@@ -2,7 +2,7 @@
 
 import { REDACTED, redactSecrets } from './redactSecrets.js';
 
-/** Fields that may stand in a log line; keys and bodies may not. */
+/** Fields of a log line. The type excludes fields that could contain keys or bodies. */
 export interface LogFields {
   readonly program?: string;
   readonly call?: string;
@@ -16,25 +16,25 @@
   readonly [field: string]: boolean | number | string | undefined;
 }
 
-/** Writes JSON lines. */
+/** Writes log lines as JSON. */
 export interface Logger {
   debug(fields: LogFields, message: string): void;
   info(fields: LogFields, message: string): void;
   warn(fields: LogFields, message: string): void;
   error(fields: LogFields, message: string): void;
-  /** A logger that adds fields to every line. */
+  /** Creates a logger that adds fields to every line. */
   child(fields: LogFields): Logger;
 }
 
-/** Levels that settings may name. */
+/** Log levels accepted in the settings. */
 export type LogLevel = 'debug' | 'error' | 'info' | 'silent' | 'warn';
 
-/** Where log lines are written. */
+/** Destination of log lines. */
 export interface LogDestination {
   write(line: string): void;
 }
 
-/** Fields whose value never reaches the log, at the top of a line or one level below. */
+/** Fields whose values are redacted at the top level of a log line and one level below. */
 const SECRET_FIELDS = [
   'answer',
   'authorization',
@@ -53,9 +53,9 @@
 ];
 
 /**
- * Makes the logger of a process: JSON lines on standard output, by pino. The types keep keys and
- * bodies out of the fields; as a second line of defence, fields of such names are redacted, and
- * so are keys within any text.
+ * Creates the logger of a process, which writes JSON lines to standard output unless a destination
+ * is given. The types exclude keys and bodies from the fields; as a second line of defence, fields
+ * with such names are redacted, and so are keys inside messages and text fields.
  *
  * @example
  * const logger = createLogger('info', { instance: 'entry-1' });
@@ -67,7 +67,7 @@
 ): Logger {
   const options: pino.LoggerOptions = {
     base: { ...fields },
-    formatters: { log: redactTexts },
+    formatters: { log: redactStringFields },
     hooks: {
       logMethod(lineArguments, method) {
         const [first, message] = lineArguments as [object, string];
@@ -83,25 +83,25 @@
   return destination === undefined ? pino(options) : pino(options, destination);
 }
 
-/** Bytes that may wait for a standard output that nobody reads; lines beyond are dropped. */
-const WAITING_LOG_BYTES = 1024 * 1024;
+/** Maximum size of the buffer for a standard output that is not read; further lines are dropped. */
+const MAXIMUM_BUFFERED_LOG_BYTES = 1024 * 1024;
 
 /**
- * Standard output as a destination that never holds up the process: lines are written in the
- * background, and dropped while too many wait.
+ * Creates a destination that writes to standard output without blocking the process: lines are
+ * written asynchronously, and dropped while the buffer is full.
  *
  * @example
  * const logger = createLogger('info', {}, createBackgroundOutput());
  */
 export function createBackgroundOutput(): LogDestination {
-  return pino.destination({ dest: 1, maxLength: WAITING_LOG_BYTES, sync: false });
+  return pino.destination({ dest: 1, maxLength: MAXIMUM_BUFFERED_LOG_BYTES, sync: false });
 }
 
-/** A logger that writes nothing, for tests and embedding. */
+/** Logger that writes nothing, for tests and embedding. */
 export const silentLogger: Logger = pino({ level: 'silent' });
 
 /**
- * Text for a log line of whatever was thrown.
+ * Converts any thrown value to text for a log line.
  *
  * @example
  * logger.error({ failure: failureText(error) }, 'renewal failed');
@@ -110,7 +110,7 @@
   return thrown instanceof Error ? thrown.message : String(thrown);
 }
 
-function redactTexts(fields: Record<string, unknown>): Record<string, unknown> {
+function redactStringFields(fields: Record<string, unknown>): Record<string, unknown> {
   return Object.fromEntries(
     Object.entries(fields).map(([name, value]) => [
       name,
--- a/packages/core/src/logging/redactSecrets.ts
+++ b/packages/core/src/logging/redactSecrets.ts
@@ -1,11 +1,11 @@
-/** What stands in a log in place of a secret. */
+/** Replacement for a secret in a log line. */
 export const REDACTED = '[redacted]';
 
-/** Bearer tokens, and keys as `zincringctl keys issue` makes them, wherever they stand in a text. */
+/** Matches bearer tokens and keys issued by `zincringctl keys issue` anywhere in a text. */
 const SECRET_PATTERN = /(?<=\bBearer\s+)[\x21-\x7e]+|\bzincring-[A-Za-z0-9_-]{43}/gi;
 
 /**
- * Takes keys out of text that goes to a log, such as the message of a failure.
+ * Replaces keys in text that is logged, such as an error message.
  *
  * @example
  * redactSecrets('authorization: Bearer abc'); // 'authorization: Bearer [redacted]'
--- a/packages/core/src/metrics/metricTable.ts
+++ b/packages/core/src/metrics/metricTable.ts
@@ -1,20 +1,20 @@
-/** How a metric is sent. */
+/** StatsD type of a metric. */
 export type MetricType = 'counter' | 'gauge' | 'timing';
 
-/** One metric of the closed table. */
+/** Description of one metric. */
 export interface MetricDescriptor {
   readonly type: MetricType;
-  /** What one of the value is. */
+  /** Unit of the value. */
   readonly unit: string;
-  /** Names of the tags that it may carry. */
+  /** Names of the tags that the metric may carry. */
   readonly tags: readonly string[];
-  /** What it tells, for operators. */
+  /** Explanation for operators. */
   readonly text: string;
 }
 
 /**
- * The closed table of metrics; docs/operators/metrics.md shows the same table. Names are sent with
- * the prefix `zincring.`.
+ * All metrics; no other name can be sent. docs/operators/metrics.md contains the same table. Names
+ * are sent with the prefix `zincring.`.
  */
 export const metricTable = {
   'calls.active': {
@@ -144,19 +144,19 @@
 export type GaugeName = NameOfType<'gauge'>;
 /** Names of the timings. */
 export type TimingName = NameOfType<'timing'>;
-/** Every name of the table. */
+/** Names of all metrics. */
 export type MetricName = keyof MetricTable;
 
-/** Tags that a metric may carry, such as `{ service: 'minutes-llm' }`. */
+/** Tags that one metric may carry, such as `{ service: 'minutes-llm' }`. */
 export type TagsOf<Name extends MetricName> = Readonly<
   Partial<Record<MetricTable[Name]['tags'][number], string>>
 >;
 
-/** Every name, in the order of the table. */
+/** Names of all metrics, in the order of the table. */
 export const allMetricNames = Object.keys(metricTable) as readonly MetricName[];
 
 /**
- * Looks up what a metric is.
+ * Returns the description of a metric.
  *
  * @example
  * describeMetric('queue.duration').unit; // 'milliseconds'
--- a/packages/core/src/metrics/metrics.ts
+++ b/packages/core/src/metrics/metrics.ts
@@ -5,7 +5,7 @@
 /** Tags of any metric, such as `{ zone: 'nelson' }`. */
 export type MetricTags = Readonly<Record<string, string>>;
 
-/** Where measurements go; the names are those of the closed table. */
+/** Records measurements under the names of the metric table. */
 export interface Metrics {
   /** Adds to a counter. */
   increment<Name extends CounterName>(name: Name, amount?: number, tags?: TagsOf<Name>): void;
@@ -13,11 +13,11 @@
   gauge(name: GaugeName, value: number): void;
   /** Records a duration in milliseconds. */
   timing<Name extends TimingName>(name: Name, milliseconds: number, tags?: TagsOf<Name>): void;
-  /** Sends what is buffered and closes the socket. */
+  /** Sends buffered measurements and closes the socket. */
   close(): void;
 }
 
-/** Drops every measurement. */
+/** Metrics that discard every measurement. */
 export const discardingMetrics: Metrics = {
   increment: () => undefined,
   gauge: () => undefined,
@@ -25,9 +25,9 @@
   close: () => undefined,
 };
 
-/** Where the metrics of a process are sent. */
+/** Options of {@link createStatsdMetrics}. */
 export interface StatsdOptions {
-  /** IP number of the StatsD agent. */
+  /** IP address of the StatsD agent. */
   readonly host: string;
   /** UDP port of the StatsD agent. */
   readonly port: number;
@@ -36,7 +36,7 @@
 }
 
 /**
- * Sends measurements over UDP by hot-shots, with the prefix `zincring.`.
+ * Creates metrics that are sent to a StatsD agent over UDP, with the prefix `zincring.`.
  *
  * @example
  * const metrics = createStatsdMetrics({ host: '127.0.0.1', port: 8125, tags: { zone: 'nelson' } });
@@ -52,13 +52,13 @@
   });
   return {
     increment: (name, amount = 1, tags) => {
-      client.increment(name, amount, toTags(tags));
+      client.increment(name, amount, omitUndefinedTags(tags));
     },
     gauge: (name, value) => {
       client.gauge(name, value);
     },
     timing: (name, milliseconds, tags) => {
-      client.timing(name, milliseconds, toTags(tags));
+      client.timing(name, milliseconds, omitUndefinedTags(tags));
     },
     close: () => {
       client.close(() => undefined);
@@ -66,8 +66,10 @@
   };
 }
 
-/** The tags that are set. */
-function toTags(tags: Readonly<Partial<MetricTags>> | undefined): Record<string, string> {
+/** Copies the tags that have a value. */
+function omitUndefinedTags(
+  tags: Readonly<Partial<MetricTags>> | undefined,
+): Record<string, string> {
   return Object.fromEntries(
     Object.entries(tags ?? {}).flatMap(([name, value]) =>
       value === undefined ? [] : [[name, value]],
--- a/packages/core/src/processes/channel.ts
+++ b/packages/core/src/processes/channel.ts
@@ -6,74 +6,74 @@
 
 import { Err, Ok } from '../result/result.js';
 
-/** What a js-csp process body returns to the scheduler between steps. */
+/** Generator that js-csp runs as a process: it yields instructions to the js-csp scheduler. */
 export type ProcessSteps<Outcome = void> = Generator<Instruction, Outcome, unknown>;
 
 /**
- * A bounded channel between js-csp processes. It never holds `null` or `undefined`,
- * which js-csp takes for a closed channel.
+ * Bounded channel between js-csp processes. Values must be objects, because js-csp uses `null` to
+ * signal a closed channel.
  *
  * @example
  * const orders = new Channel<Order>(16);
  * orders.offer(order); // false when full or closed
  */
 export class Channel<Value extends object> {
-  private readonly inner: csp.Channel<Value>;
-  private waiting = 0;
+  private readonly cspChannel: csp.Channel<Value>;
+  private queuedCount = 0;
 
   public constructor(private readonly capacity: number) {
-    this.inner = csp.chan<Value>(capacity);
+    this.cspChannel = csp.chan<Value>(capacity);
   }
 
-  /** Number of values put and not yet taken. */
+  /** Number of values offered and not yet received. */
   public get size(): number {
-    return this.waiting;
+    return this.queuedCount;
   }
 
-  /** Whether {@link Channel.close} was called. */
+  /** Whether {@link Channel.close} has been called. */
   public get isClosed(): boolean {
-    return this.inner.isClosed();
+    return this.cspChannel.isClosed();
   }
 
-  /** Puts without waiting; `false` when the channel is full or closed. */
+  /** Adds a value without waiting; returns `false` when the channel is full or closed. */
   public offer(value: Value): boolean {
-    if (this.inner.isClosed() || this.waiting >= this.capacity) {
+    if (this.cspChannel.isClosed() || this.queuedCount >= this.capacity) {
       return false;
     }
-    this.waiting++;
-    csp.putAsync(this.inner, value);
+    this.queuedCount++;
+    csp.putAsync(this.cspChannel, value);
     return true;
   }
 
-  /** Closes the channel: values already put are still delivered. */
+  /** Closes the channel; values already in it are still delivered. */
   public close(): void {
-    this.inner.close();
+    this.cspChannel.close();
   }
 
-  /** Takes the next value inside a process; `undefined` once the channel is closed and empty. */
+  /** Waits for the next value in a process; `undefined` once the channel is closed and empty. */
   public *receive(): ProcessSteps<Value | undefined> {
-    const value = (yield csp.take(this.inner)) as Value | null;
+    const value = (yield csp.take(this.cspChannel)) as Value | null;
     if (value === null) {
       return undefined;
     }
-    this.waiting--;
+    this.queuedCount--;
     return value;
   }
 }
 
-/** Carries the outcome of a promise through a js-csp channel. */
-interface Settled<Value> {
+/** Outcome of a promise, wrapped in an object for a js-csp channel. */
+interface SettledPromise<Value> {
   readonly result: Result<Value, unknown>;
 }
 
 /**
- * Waits for a promise inside a process; a rejection comes back as `Err`.
+ * Waits for a promise inside a process; a rejection is returned as `Err`.
  *
  * @example
  * const stored = yield* settle(objectStore.putIfAbsent(name, bytes));
  */
 export function* settle<Value>(promise: Promise<Value>): ProcessSteps<Result<Value, unknown>> {
-  const channel = csp.chan<Settled<Value>>(1);
+  const channel = csp.chan<SettledPromise<Value>>(1);
   promise.then(
     value => {
       csp.putAsync(channel, { result: Ok(value) });
@@ -82,12 +82,13 @@
       csp.putAsync(channel, { result: Err(failure) });
     },
   );
-  const settled = (yield csp.take(channel)) as Settled<Value>;
+  const settled = (yield csp.take(channel)) as SettledPromise<Value>;
   return settled.result;
 }
 
 /**
- * Starts a js-csp process whose failure is reported instead of escaping as an uncaught exception.
+ * Starts a js-csp process; an error thrown in it is passed to `onFailure` instead of becoming an
+ * uncaught exception.
  *
  * @example
  * startProcess(function* () { … }, failure => logger.error({ failure }, 'mailbox failed'));
--- a/packages/core/src/processes/js-csp.d.ts
+++ b/packages/core/src/processes/js-csp.d.ts
@@ -1,17 +1,17 @@
-/** The part of js-csp that the workspace uses; the library carries no types. */
+/** Types for the part of js-csp that these packages use; the library has none of its own. */
 declare module 'js-csp' {
   export const CLOSED: null;
-  /** A channel. */
+  /** Channel between processes. */
   export interface Channel<Value> {
     close(): void;
     isClosed(): boolean;
     readonly __value?: Value;
   }
-  /** A buffer of a channel. */
+  /** Buffer of a channel. */
   export interface Buffer {
     readonly __buffer?: true;
   }
-  /** What a process yields to the scheduler. */
+  /** Instruction that a process yields to the js-csp scheduler. */
   export interface Instruction {
     readonly __instruction?: true;
   }
--- a/packages/core/src/result/result.ts
+++ b/packages/core/src/result/result.ts
@@ -9,6 +9,6 @@
 /** The failed side of a {@link Result}. */
 export type Err<Failure> = ErrType<Failure>;
 
-// ts-results is CommonJS: under ES modules only its default import carries the values.
+// ts-results is CommonJS: under ES modules its values are available only on the default import.
 export const Ok = tsResults.Ok;
 export const Err = tsResults.Err;
--- a/packages/core/src/time/manualTimerService.ts
+++ b/packages/core/src/time/manualTimerService.ts
@@ -1,17 +1,17 @@
 import type { TimerService, TimerSubscription } from './timerService.js';
 
 interface ScheduledTimer {
-  readonly order: number;
+  readonly creationOrder: number;
   readonly callback: () => void;
   readonly intervalMilliseconds: number | undefined;
   dueAt: number;
 }
 
-/** How many turns of the event loop pass before time moves to the next timer. */
-const SETTLE_ROUNDS = 8;
+/** Event-loop iterations that run before the clock moves to the next timer. */
+const EVENT_LOOP_ITERATIONS_PER_SETTLE = 8;
 
 /**
- * Time that moves only when told to. Timers fire in order of due time, then of creation.
+ * Clock for tests that moves only on request. Timers fire in order of due time, then of creation.
  *
  * @example
  * const timers = new ManualTimerService();
@@ -21,7 +21,7 @@
   private readonly scheduled = new Set<ScheduledTimer>();
   private currentTime = 0;
   private wallClockOffset: number;
-  private nextOrder = 0;
+  private nextCreationOrder = 0;
 
   public constructor(wallClockStart = 1_700_000_000_000) {
     this.wallClockOffset = wallClockStart;
@@ -35,7 +35,7 @@
     return this.currentTime + this.wallClockOffset;
   }
 
-  /** Steps the wall clock without moving monotonic time. */
+  /** Changes the wall clock without moving monotonic time. */
   public stepWallClock(milliseconds: number): void {
     this.wallClockOffset += milliseconds;
   }
@@ -49,7 +49,7 @@
     return this.schedule(interval, callback, interval);
   }
 
-  /** Moves time forward, firing what falls due and letting promises settle in between. */
+  /** Moves time forward, firing due timers and running pending callbacks in between. */
   public async advance(milliseconds: number): Promise<void> {
     const target = this.currentTime + milliseconds;
     await this.settle();
@@ -60,20 +60,20 @@
     this.currentTime = target;
   }
 
-  /** Moves time without firing anything, as a paused process would see it on waking. */
+  /** Moves time forward without firing timers, as seen by a process that resumes after a pause. */
   public skip(milliseconds: number): void {
     this.currentTime += milliseconds;
   }
 
-  /** Lets pending promise callbacks and js-csp processes run without moving time. */
+  /** Runs pending promise callbacks and js-csp processes without moving time. */
   public async settle(): Promise<void> {
-    for (let round = 0; round < SETTLE_ROUNDS; round++) {
+    for (let iteration = 0; iteration < EVENT_LOOP_ITERATIONS_PER_SETTLE; iteration++) {
       await new Promise<void>(resolve => setImmediate(resolve));
     }
   }
 
-  /** Number of timers waiting. */
-  public get pending(): number {
+  /** Number of scheduled timers. */
+  public get scheduledTimerCount(): number {
     return this.scheduled.size;
   }
 
@@ -83,7 +83,7 @@
     intervalMilliseconds: number | undefined,
   ): TimerSubscription {
     const timer: ScheduledTimer = {
-      order: this.nextOrder++,
+      creationOrder: this.nextCreationOrder++,
       callback,
       intervalMilliseconds,
       dueAt: this.currentTime + delay,
@@ -105,7 +105,7 @@
       if (
         earliest === undefined ||
         timer.dueAt < earliest.dueAt ||
-        (timer.dueAt === earliest.dueAt && timer.order < earliest.order)
+        (timer.dueAt === earliest.dueAt && timer.creationOrder < earliest.creationOrder)
       ) {
         earliest = timer;
       }
--- a/packages/core/src/time/systemTimerService.ts
+++ b/packages/core/src/time/systemTimerService.ts
@@ -3,7 +3,7 @@
 import type { TimerService, TimerSubscription } from './timerService.js';
 
 /**
- * Timers of the running process.
+ * Timers and clocks of the running process.
  *
  * @example
  * const timers = new SystemTimerService();
--- a/packages/core/src/time/timerService.ts
+++ b/packages/core/src/time/timerService.ts
@@ -1,16 +1,16 @@
-/** A timer that its owner can stop. Stopping twice is harmless. */
+/** Handle to stop a timer. Stopping it more than once has no effect. */
 export interface TimerSubscription {
   stop(): void;
 }
 
 /**
- * The only source of time. Parts subscribe to it instead of reading a clock of their own,
- * so that tests can move time by hand.
+ * The only source of time: classes receive it instead of reading the system clock, and tests
+ * replace it by a clock that they control.
  */
 export interface TimerService {
-  /** Monotonic time in milliseconds; its zero has no meaning. Steps of the wall clock do not move it. */
+  /** Monotonic time in milliseconds from an arbitrary origin; unaffected by wall-clock changes. */
   now(): number;
-  /** Wall-clock time in milliseconds since 1970; for records that people read, never for decisions. */
+  /** Wall-clock time in milliseconds since 1970; only for records read by people, not decisions. */
   wallClock(): number;
   /** Calls `callback` once, `delayMilliseconds` from now. */
   after(delayMilliseconds: number, callback: () => void): TimerSubscription;
@@ -19,7 +19,7 @@
 }
 
 /**
- * Waits for a time, or until the signal aborts, whichever comes first.
+ * Waits for a delay to pass or for the signal to abort, whichever comes first.
  *
  * @example
  * await sleep(timers, 250);
--- a/packages/core/tests/errors/errorKinds.test.ts
+++ b/packages/core/tests/errors/errorKinds.test.ts
@@ -18,15 +18,18 @@
     .join('\n');
 }
 
-describe('every error kind of the closed list', () => {
+describe('every error kind', () => {
   const sources = readSources('src');
   const tests = readSources('tests');
 
-  it.each(allErrorKinds.map(kind => ({ kind })))('$kind is given by code', ({ kind }) => {
-    expect(sources).toMatch(new RegExp(`Error(Class)?\\(\\s*(\\w+ \\? )?[^;]*'${kind}'`));
-  });
+  it.each(allErrorKinds.map(kind => ({ kind })))(
+    '$kind is created in a source file',
+    ({ kind }) => {
+      expect(sources).toMatch(new RegExp(`Error(Class)?\\(\\s*(\\w+ \\? )?[^;]*'${kind}'`));
+    },
+  );
 
-  it.each(allErrorKinds.map(kind => ({ kind })))('$kind is expected by a test', ({ kind }) => {
+  it.each(allErrorKinds.map(kind => ({ kind })))('$kind is expected in a test', ({ kind }) => {
     expect(tests).toMatch(new RegExp(`'${kind}['\\s]`));
   });
 });
--- a/packages/core/tests/http2/sessionManager.test.ts
+++ b/packages/core/tests/http2/sessionManager.test.ts
@@ -4,7 +4,7 @@
 import { createServer } from 'node:net';
 import { expect, it } from 'vitest';
 
-it('gives up a connection that is silent although new streams are opened on it', async () => {
+it('closes a connection without responses although new streams are opened on it', async () => {
   const server = createServer(socket => socket.on('error', () => undefined));
   await new Promise<void>(resolve => {
     server.listen(0, '127.0.0.1', resolve);
@@ -18,7 +18,7 @@
   const call = await manager.request('POST', '/call', {}, {});
   call.on('error', () => undefined);
   await new Promise(resolve => setTimeout(resolve, 100));
-  for (let heartbeat = 0; heartbeat < 12; heartbeat++) {
+  for (let attempt = 0; attempt < 12; attempt++) {
     await timers.advance(500);
     const stream = await manager.request('POST', '/heartbeat', {}, {});
     stream.on('error', () => undefined);
--- a/packages/core/tests/logging/logger.test.ts
+++ b/packages/core/tests/logging/logger.test.ts
@@ -6,15 +6,15 @@
 
 const ISSUED_KEY = `zincring-${'aB3_-'.repeat(9).slice(0, 43)}`;
 
-function logOf(write: (logger: ReturnType<typeof createLogger>) => void): string {
+function captureLog(write: (logger: ReturnType<typeof createLogger>) => void): string {
   const lines: string[] = [];
   write(createLogger('debug', { instance: 'entry-1' }, { write: line => lines.push(line) }));
   return lines.join('');
 }
 
 describe('createLogger', () => {
-  it('writes one JSON line with the ids that it was given', () => {
-    const line = logOf(logger => {
+  it('writes one JSON line with the given fields', () => {
+    const line = captureLog(logger => {
       logger.child({ workspace: 'utility' }).info({ call: 'c', program: 'p' }, 'call finished');
     });
     expect(JSON.parse(line)).toMatchObject({
@@ -28,10 +28,10 @@
   });
 
   it.each(['authorization', 'body', 'input', 'key', 'token', 'headers', 'prompt'])(
-    'redacts the field %s although the types forbid it',
+    'redacts the field %s, which the types forbid',
     field => {
       const fields = { [field]: 'secret-value', nested: { [field]: 'secret-value' } };
-      const line = logOf(logger => {
+      const line = captureLog(logger => {
         logger.warn(fields as unknown as LogFields, 'refused');
         logger.child({ [field]: 'secret-value' }).warn({}, 'refused');
       });
@@ -40,9 +40,9 @@
   );
 
   it.each([ISSUED_KEY, 'Bearer abc.def/ghi==', 'authorization: bearer  s3cret'])(
-    'redacts %s inside texts',
+    'redacts %s inside messages and text fields',
     text => {
-      const line = logOf(logger => {
+      const line = captureLog(logger => {
         logger.error({ failure: `no answer to ${text}` }, `failed with ${text}`);
       });
       expect(line).not.toContain(ISSUED_KEY);
--- a/packages/core/tests/metrics/metricTable.test.ts
+++ b/packages/core/tests/metrics/metricTable.test.ts
@@ -9,8 +9,8 @@
   'utf8',
 );
 
-describe('the table of metrics', () => {
-  it('stands in the operators’ page, row by row and nothing else', () => {
+describe('metricTable', () => {
+  it('equals the table in docs/operators/metrics.md row by row', () => {
     const rows = page.split('\n').filter(line => line.startsWith('| `'));
     const expected = allMetricNames.map(name => {
       const { tags, text, type, unit } = describeMetric(name);
@@ -20,13 +20,13 @@
     expect(rows.map(row => row.split('|').map(cell => cell.trim()))).toEqual(expected);
   });
 
-  it('compiles for its own names, types and tags alone', () => {
+  it('rejects unknown names, wrong types and unknown tags at compile time', () => {
     discardingMetrics.increment('limits.refused', 1, { workspace: 'utility' });
-    // @ts-expect-error no such name
+    // @ts-expect-error unknown name
     discardingMetrics.increment('limits.refuse');
     // @ts-expect-error a gauge is not a counter
     discardingMetrics.increment('configuration.version');
-    // @ts-expect-error no such tag
+    // @ts-expect-error unknown tag
     discardingMetrics.increment('limits.refused', 1, { kind: 'rate-limited' });
     expect(allMetricNames).toContain('limits.refused');
   });
