--- a/packages/rules/src/configuration.ts
+++ b/packages/rules/src/configuration.ts
@@ -4,14 +4,14 @@
 
 import { ConfigurationBuilder } from './configurationBuilder.js';
 
-/** One version of the rules, indexed for look-ups. It never changes. */
+/** Immutable version of the rules, indexed for lookup. */
 export interface Configuration {
   readonly version: ConfigurationVersion;
   readonly workspaces: ReadonlyMap<WorkspaceName, WorkspaceRule>;
   readonly keys: ReadonlyMap<KeyHash, KeyRule>;
   readonly programs: ReadonlyMap<string, ProgramRule>;
   readonly services: ReadonlyMap<ServiceName, ServiceRule>;
-  /** Longest path first. */
+  /** Routes in order of decreasing path length. */
   readonly routes: readonly RouteRule[];
 }
 
--- a/packages/rules/src/configurationBuilder.ts
+++ b/packages/rules/src/configurationBuilder.ts
@@ -3,38 +3,38 @@
 import type { Configuration } from './configuration.js';
 import type { KeyRule, ProgramRule, RouteRule, Rule, ServiceRule, WorkspaceRule } from './rule.js';
 
-/** A map that is copied for readers, and copied again only after it has changed. */
-class CopiedMap<Key, Value> {
+/** Map with immutable snapshots; a new copy is made only after a change. */
+class SnapshotMap<Key, Value> {
   public readonly entries = new Map<Key, Value>();
-  private copy: ReadonlyMap<Key, Value> | undefined;
+  private cachedSnapshot: ReadonlyMap<Key, Value> | undefined;
 
   public set(key: Key, value: Value): void {
     this.entries.set(key, value);
-    this.copy = undefined;
+    this.cachedSnapshot = undefined;
   }
 
   public delete(key: Key): void {
     this.entries.delete(key);
-    this.copy = undefined;
+    this.cachedSnapshot = undefined;
   }
 
-  /** The entries as they are now. */
+  /** Returns an immutable copy of the current entries. */
   public snapshot(): ReadonlyMap<Key, Value> {
-    this.copy ??= new Map(this.entries);
-    return this.copy;
+    this.cachedSnapshot ??= new Map(this.entries);
+    return this.cachedSnapshot;
   }
 }
 
-/** Makes configurations from rules that change one by one. */
+/** Builds configurations from rules that are added and removed one at a time. */
 export class ConfigurationBuilder {
-  private readonly keys = new CopiedMap<KeyHash, KeyRule>();
-  private readonly programs = new CopiedMap<string, ProgramRule>();
-  private readonly routes = new CopiedMap<string, RouteRule>();
-  private readonly services = new CopiedMap<ServiceName, ServiceRule>();
-  private readonly workspaces = new CopiedMap<WorkspaceName, WorkspaceRule>();
+  private readonly keys = new SnapshotMap<KeyHash, KeyRule>();
+  private readonly programs = new SnapshotMap<string, ProgramRule>();
+  private readonly routes = new SnapshotMap<string, RouteRule>();
+  private readonly services = new SnapshotMap<ServiceName, ServiceRule>();
+  private readonly workspaces = new SnapshotMap<WorkspaceName, WorkspaceRule>();
 
-  /** Names of the rules of a kind that others may refer to. */
-  public names(kind: 'service' | 'workspace'): readonly string[] {
+  /** Lists the names of the rules of a kind to which other rules can refer. */
+  public listNames(kind: 'service' | 'workspace'): readonly string[] {
     const { entries } = kind === 'service' ? this.services : this.workspaces;
     return [...entries.keys()];
   }
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Takes a rule out. */
+  /** Removes a rule. */
   public remove(rule: Rule): void {
     switch (rule.kind) {
       case 'key':
@@ -81,7 +81,7 @@
     }
   }
 
-  /** The configuration as it is now. */
+  /** Builds the configuration of the current rules. */
   public build(version: ConfigurationVersion): Configuration {
     const routes = [...this.routes.snapshot().values()];
     return {
--- a/packages/rules/src/nearestWord.ts
+++ b/packages/rules/src/nearestWord.ts
@@ -1,20 +1,20 @@
 import { closest, distance } from 'fastest-levenshtein';
 
-/** Most edits between a misspelt word and the word that is suggested for it. */
-const LARGEST_SUGGESTED_DISTANCE = 3;
-/** Longer words get no suggestion, which bounds the time that a broken file costs. */
-const LONGEST_WORD = 64;
+/** Maximum edit distance between a misspelt word and a suggested word. */
+const MAXIMUM_EDIT_DISTANCE = 3;
+/** Longer words get no suggestion, which bounds the time spent on a malformed file. */
+const MAXIMUM_WORD_LENGTH = 64;
 
 /**
- * Finds the known word nearest to a misspelt one; `undefined` when none is near.
+ * Finds the known word nearest to a misspelt one; returns `undefined` if none is near.
  *
  * @example
  * nearestWord('workspcae', ['workspace', 'key']); // 'workspace'
  */
-export function nearestWord(word: string, known: readonly string[]): string | undefined {
-  if (known.length === 0 || word.length > LONGEST_WORD) {
+export function nearestWord(word: string, knownWords: readonly string[]): string | undefined {
+  if (knownWords.length === 0 || word.length > MAXIMUM_WORD_LENGTH) {
     return undefined;
   }
-  const candidate = closest(word, known);
-  return distance(word, candidate) <= LARGEST_SUGGESTED_DISTANCE ? candidate : undefined;
+  const candidate = closest(word, knownWords);
+  return distance(word, candidate) <= MAXIMUM_EDIT_DISTANCE ? candidate : undefined;
 }
--- a/packages/rules/src/parseRuleLine.ts
+++ b/packages/rules/src/parseRuleLine.ts
@@ -9,43 +9,49 @@
 import { buildRule, ruleGrammars, ruleKinds } from './ruleGrammar.js';
 import { SettingReader } from './settingReader.js';
 
-/** Longest rule line, in UTF-16 code units. */
-const LONGEST_LINE = 4_096;
+/** Maximum length of a rule line, in UTF-16 code units. */
+const MAXIMUM_LINE_LENGTH = 4_096;
 
-/** Longest part before the comment; with the comment's bounds a canonical line is never too long. */
-const LONGEST_BODY = 3_000;
-const LONGEST_REQUESTER = 128;
-const LONGEST_REASON = 800;
 /**
- * What a comment may not hold: control characters, unpaired surrogates, line separators, and the
- * controls that make text read in another order than it is stored.
+ * Maximum length of the part before the comment, in UTF-16 code units. Together with the limits of
+ * requester and reason it keeps every canonical line within the maximum line length.
+ */
+const MAXIMUM_BODY_LENGTH = 3_000;
+const MAXIMUM_REQUESTER_LENGTH = 128;
+const MAXIMUM_REASON_LENGTH = 800;
+/**
+ * Matches characters that are not allowed in a comment: control characters, unpaired surrogates,
+ * line and paragraph separators, the byte order mark, and bidirectional controls, which display
+ * text in another order than it is stored.
  */
 const FORBIDDEN_IN_COMMENT =
   /[\p{Cc}\p{Cs}\p{Zl}\p{Zp}\u061c\u200e\u200f\u202a-\u202e\u2066-\u2069\ufeff]/u;
-/** What may stand before the comment. */
+/** Matches characters that are not allowed before the comment. */
 const FORBIDDEN_IN_BODY = /[^\u0020-\u007e\t]/u;
 
 /**
  * Parses one rule line, `KIND NAME key=value … # requester: reason`.
  *
  * @param text the line without its line break
- * @param line its number, from 1
- * @returns the rule, or every error of the line
+ * @param line the line number, starting at 1
+ * @returns the rule, or all errors in the line
  */
 export function parseRuleLine(text: string, line: number): Result<Rule, readonly RuleError[]> {
-  if (text.length > LONGEST_LINE) {
+  if (text.length > MAXIMUM_LINE_LENGTH) {
     const found = `${text.length} characters`;
-    return Err([{ expected: `at most ${LONGEST_LINE} characters a line`, found, line }]);
+    return Err([{ expected: `at most ${MAXIMUM_LINE_LENGTH} characters a line`, found, line }]);
   }
   const [body, comment] = splitComment(text);
-  if (body.length > LONGEST_BODY) {
+  if (body.length > MAXIMUM_BODY_LENGTH) {
     const found = `${body.length} characters`;
-    return Err([{ expected: `at most ${LONGEST_BODY} characters of settings`, found, line }]);
+    return Err([
+      { expected: `at most ${MAXIMUM_BODY_LENGTH} characters of settings`, found, line },
+    ]);
   }
-  const foreign = FORBIDDEN_IN_BODY.exec(body)?.[0];
-  if (foreign !== undefined) {
+  const forbiddenCharacter = FORBIDDEN_IN_BODY.exec(body)?.[0];
+  if (forbiddenCharacter !== undefined) {
     const expected = 'only printable ASCII, blanks and tabs before the comment';
-    return Err([{ expected, found: foreign, line }]);
+    return Err([{ expected, found: forbiddenCharacter, line }]);
   }
   const origin = parseOrigin(comment, line);
   if (origin.err) {
@@ -68,13 +74,13 @@
     : Err(reader.errors.map(error => ({ ...error, line })));
 }
 
-/** Adds the nearest known word to an error, where one is near to what was found. */
+/** Adds the nearest known word to an error as a suggestion, if one is near the word found. */
 export function withSuggestion(
   error: RuleError,
-  known: readonly string[],
+  knownWords: readonly string[],
   word = error.found,
 ): RuleError {
-  const suggestion = nearestWord(word, known);
+  const suggestion = nearestWord(word, knownWords);
   return suggestion === undefined ? error : { ...error, suggestion };
 }
 
@@ -88,10 +94,16 @@
   if (comment === undefined) {
     return Err({ expected, found: 'no comment', line });
   }
-  const text = comment.normalize('NFC').replace(/\s+/gu, match => (isBlank(match) ? ' ' : match));
-  const foreign = FORBIDDEN_IN_COMMENT.exec(text)?.[0];
-  if (foreign !== undefined) {
-    return Err({ expected: 'a comment without control characters', found: foreign, line });
+  const text = comment
+    .normalize('NFC')
+    .replace(/\s+/gu, match => (isInlineWhitespace(match) ? ' ' : match));
+  const forbiddenCharacter = FORBIDDEN_IN_COMMENT.exec(text)?.[0];
+  if (forbiddenCharacter !== undefined) {
+    return Err({
+      expected: 'a comment without control characters',
+      found: forbiddenCharacter,
+      line,
+    });
   }
   const separator = text.indexOf(':');
   const requester = text.slice(0, Math.max(0, separator)).trim();
@@ -99,15 +111,15 @@
   if (separator < 0 || requester === '' || reason === '' || requester.includes('#')) {
     return Err({ expected, found: text.trim(), line });
   }
-  if (requester.length > LONGEST_REQUESTER || reason.length > LONGEST_REASON) {
-    const bounds = `at most ${LONGEST_REQUESTER} and ${LONGEST_REASON} characters`;
-    return Err({ expected: `requester and reason of ${bounds}`, found: text.trim(), line });
+  if (requester.length > MAXIMUM_REQUESTER_LENGTH || reason.length > MAXIMUM_REASON_LENGTH) {
+    const limits = `at most ${MAXIMUM_REQUESTER_LENGTH} and ${MAXIMUM_REASON_LENGTH} characters`;
+    return Err({ expected: `requester and reason of ${limits}`, found: text.trim(), line });
   }
   return Ok({ line, reason, requester });
 }
 
-/** Whether white space is harmless: all of it but line breaks and other controls. */
-function isBlank(text: string): boolean {
+/** Whether white space consists only of tabs and space separators, without line breaks. */
+function isInlineWhitespace(text: string): boolean {
   return /^[\t\p{Zs}]+$/u.test(text);
 }
 
@@ -125,15 +137,15 @@
   words: readonly string[],
   line: number,
 ): Result<ReadonlyMap<string, string>, readonly RuleError[]> {
-  const known = ruleGrammars[kind].settings;
+  const knownNames = ruleGrammars[kind].settingNames;
   const settings = new Map<string, string>();
   const errors: RuleError[] = [];
   for (const word of words) {
     const separator = word.indexOf('=');
     const name = separator < 0 ? word : word.slice(0, separator);
-    if (separator < 0 || !known.includes(name)) {
-      const expected = `a setting of ${kind}: ${known.map(each => `${each}=`).join(' ')}`;
-      errors.push(withSuggestion({ expected, found: word, line }, known, name));
+    if (separator < 0 || !knownNames.includes(name)) {
+      const expected = `a setting of ${kind}: ${knownNames.map(known => `${known}=`).join(' ')}`;
+      errors.push(withSuggestion({ expected, found: word, line }, knownNames, name));
     } else if (settings.has(name)) {
       errors.push({ expected: `${name}= once`, found: word, line });
     } else {
--- a/packages/rules/src/parseRules.ts
+++ b/packages/rules/src/parseRules.ts
@@ -7,46 +7,46 @@
 
 import { parseRuleLine } from './parseRuleLine.js';
 import { RuleIndex } from './ruleIndex.js';
-import { MOST_RULES } from './ruleSet.js';
+import { MAXIMUM_RULES } from './ruleSet.js';
 
-/** Most lines in a rule file, comment lines and empty ones included. */
-const MOST_LINES = 2 * MOST_RULES;
-/** Largest rule file, in UTF-16 code units. */
-const LARGEST_FILE = 32 * 1024 * 1024;
-/** Most errors that are told at once. */
-const MOST_ERRORS = 100;
-/** Written by some editors at the beginning of a file. */
+/** Maximum number of lines in a rule file, including comments and empty lines. */
+const MAXIMUM_LINES = 2 * MAXIMUM_RULES;
+/** Maximum length of a rule file, in UTF-16 code units. */
+const MAXIMUM_FILE_LENGTH = 32 * 1024 * 1024;
+/** Maximum number of errors reported for a file; a last error gives the number omitted. */
+const MAXIMUM_REPORTED_ERRORS = 100;
+/** Byte order mark that some editors write at the start of a file. */
 const BYTE_ORDER_MARK = '\ufeff';
 
 /**
- * Parses a rule file: one rule a line, `KIND NAME key=value … # requester: reason`. Empty lines
- * and lines that begin with `#` are passed over. Lines end in LF or CR LF; a byte order mark at
- * the beginning is passed over.
+ * Parses a rule file: one rule per line, `KIND NAME key=value … # requester: reason`. Empty lines
+ * and lines that start with `#` are ignored, and so is a byte order mark at the start of the file.
+ * Lines end in LF or CR LF.
  *
- * @returns the rules, or every error with its line
+ * @returns the rules, or the errors in the order of their lines
  * @example
  * parseRules('workspace utility rate=50 burst=100 # dana: pilot contract');
  */
 export function parseRules(text: string): Result<readonly Rule[], readonly RuleError[]> {
-  if (text.length > LARGEST_FILE) {
+  if (text.length > MAXIMUM_FILE_LENGTH) {
     const found = `${text.length} characters`;
-    return Err([{ expected: `at most ${LARGEST_FILE} characters`, found, line: 1 }]);
+    return Err([{ expected: `at most ${MAXIMUM_FILE_LENGTH} characters`, found, line: 1 }]);
   }
   const lines = splitLines(text);
-  if (lines.length > MOST_LINES) {
+  if (lines.length > MAXIMUM_LINES) {
     const found = `${lines.length} lines`;
-    return Err([{ expected: `at most ${MOST_LINES} lines`, found, line: MOST_LINES + 1 }]);
+    return Err([{ expected: `at most ${MAXIMUM_LINES} lines`, found, line: MAXIMUM_LINES + 1 }]);
   }
   const { errors, rules } = parseLines(lines);
-  if (rules.length > MOST_RULES) {
+  if (rules.length > MAXIMUM_RULES) {
     const found = `${rules.length} rules`;
-    const line = rules[MOST_RULES]?.line ?? lines.length;
-    errors.push({ expected: `at most ${MOST_RULES} rules`, found, line });
+    const line = rules[MAXIMUM_RULES]?.line ?? lines.length;
+    errors.push({ expected: `at most ${MAXIMUM_RULES} rules`, found, line });
   }
   const index = new RuleIndex();
   errors.push(...rules.flatMap(rule => index.insert(rule)));
   errors.push(...index.findBrokenReferences(rules));
-  return errors.length === 0 ? Ok(rules) : Err(inOrder(errors));
+  return errors.length === 0 ? Ok(rules) : Err(sortAndTruncate(errors));
 }
 
 function splitLines(text: string): readonly string[] {
@@ -76,13 +76,16 @@
   return parsed;
 }
 
-function inOrder(errors: readonly RuleError[]): readonly RuleError[] {
+function sortAndTruncate(errors: readonly RuleError[]): readonly RuleError[] {
   const sorted = [...errors].sort((left, right) => left.line - right.line);
-  const rest = sorted[MOST_ERRORS];
-  if (rest === undefined) {
+  const firstOmitted = sorted[MAXIMUM_REPORTED_ERRORS];
+  if (firstOmitted === undefined) {
     return sorted;
   }
-  const found = `${sorted.length - MOST_ERRORS} more errors`;
-  const expected = `at most ${MOST_ERRORS} errors at once`;
-  return [...sorted.slice(0, MOST_ERRORS), { expected, found, line: rest.line }];
+  const found = `${sorted.length - MAXIMUM_REPORTED_ERRORS} more errors`;
+  const expected = `at most ${MAXIMUM_REPORTED_ERRORS} errors at once`;
+  return [
+    ...sorted.slice(0, MAXIMUM_REPORTED_ERRORS),
+    { expected, found, line: firstOmitted.line },
+  ];
 }
--- a/packages/rules/src/rule.ts
+++ b/packages/rules/src/rule.ts
@@ -1,30 +1,30 @@
 import type { KeyHash, ServiceName, WorkspaceName } from '@zincring/core';
 
-/** What every rule carries: where it stands and who asked for it. */
+/** Properties common to all rules: the position in the file, the requester and the reason. */
 export interface RuleOrigin {
-  /** Line in the rule file, from 1. */
+  /** Line number in the rule file, starting at 1. */
   readonly line: number;
-  /** Who asked for the rule. */
+  /** Name of the person who requested the rule. */
   readonly requester: string;
-  /** Why the rule exists. */
+  /** Reason for the rule. */
   readonly reason: string;
 }
 
-/** A workspace with its rate and burst across the whole fleet. */
+/** Workspace with its rate and burst across the fleet. */
 export interface WorkspaceRule extends RuleOrigin {
   readonly kind: 'workspace';
   readonly name: WorkspaceName;
   /** Requests per second. */
   readonly rate: number;
-  /** Requests that may come at once after a pause. */
+  /** Maximum number of requests admitted at the same moment after an idle period. */
   readonly burst: number;
-  /** Share of the upstreams when workspaces compete. */
+  /** Relative share of the upstreams when workspaces compete. */
   readonly weight: number;
-  /** Most programs open at a time. */
+  /** Maximum number of programs open at the same time. */
   readonly programs: number;
 }
 
-/** A key, kept as its hash alone. */
+/** Key of a workspace, stored only as its hash. */
 export interface KeyRule extends RuleOrigin {
   readonly kind: 'key';
   readonly name: string;
@@ -32,56 +32,56 @@
   readonly hash: KeyHash;
 }
 
-/** A policy that binds programs to a budget and to services. */
+/** Policy that gives programs a budget and restricts them to services. */
 export interface ProgramRule extends RuleOrigin {
   readonly kind: 'program';
   readonly name: string;
   /** Services that programs under the policy may call. */
   readonly services: readonly ServiceName[];
-  /** Most tokens, prompts and answers together, over the whole program. */
+  /** Maximum tokens of a program, prompts and answers together. */
   readonly tokens: number;
-  /** Most calls over the whole program, sub-agents included. */
+  /** Maximum calls of a program, including those of sub-agents. */
   readonly calls: number;
   /** Seconds without a call after which a program ends. */
   readonly idleSeconds: number;
-  /** Seconds after which a program ends, calls or not. */
+  /** Seconds after which a program ends, even if calls still arrive. */
   readonly lifetimeSeconds: number;
 }
 
-/** How upstreams of a service are spoken to. */
+/** Protocol between an instance and the upstreams of a service. */
 export type ServiceProtocol = 'engine' | 'plain';
 
-/** A service that upstream replicas offer. */
+/** Service that upstream replicas offer. */
 export interface ServiceRule extends RuleOrigin {
   readonly kind: 'service';
   readonly name: ServiceName;
   readonly protocol: ServiceProtocol;
-  /** Whether calls with an unsafe method may be repeated. */
+  /** Whether calls with an unsafe HTTP method may be repeated. */
   readonly idempotent: boolean;
-  /** Whether upstreams refuse orders with an old fencing number. */
+  /** Whether upstreams check fencing tokens and refuse commands with an outdated one. */
   readonly fencing: 'checked' | 'ignored';
-  /** Longest time of one call, in seconds. */
+  /** Maximum duration of one call, in seconds. */
   readonly timeoutSeconds: number;
-  /** Most calls in flight at one replica, over all instances. */
+  /** Maximum calls in flight at one replica, summed over all instances. */
   readonly concurrency: number;
 }
 
-/** A route outside programs, to one service. */
+/** Route for requests outside of programs, to one service. */
 export interface RouteRule extends RuleOrigin {
   readonly kind: 'route';
   readonly name: string;
-  /** Prefix of the path, beginning with a slash. */
+  /** Prefix of the request path, starting with a slash. */
   readonly path: string;
   readonly service: ServiceName;
   /** Whether callers need a key. */
   readonly access: 'key' | 'open';
 }
 
-/** Any rule. */
+/** Rule of any kind. */
 export type Rule = KeyRule | ProgramRule | RouteRule | ServiceRule | WorkspaceRule;
 
-/** The kinds of rule. */
+/** Kind of a rule. */
 export type RuleKind = Rule['kind'];
 
-/** The rule of a kind. */
+/** Type of the rules of one kind. */
 export type RuleOf<Kind extends RuleKind> = Extract<Rule, { readonly kind: Kind }>;
--- a/packages/rules/src/ruleError.ts
+++ b/packages/rules/src/ruleError.ts
@@ -1,21 +1,21 @@
-/** An error in a rule file, exact to the line. */
+/** Error in one line of a rule file. */
 export interface RuleError {
-  /** Line in the file, from 1. */
+  /** Line number in the file, starting at 1. */
   readonly line: number;
-  /** What was read. */
+  /** Text that was read. */
   readonly found: string;
-  /** What was expected instead. */
+  /** Description of the expected text. */
   readonly expected: string;
-  /** The nearest known word, where one is near. */
+  /** Nearest known word, if one is near. */
   readonly suggestion?: string;
 }
 
-/** Longest quotation of what was read, in characters. */
-const LONGEST_QUOTATION = 80;
+/** Maximum length of quoted input, in UTF-16 code units; longer input is cut. */
+const MAXIMUM_QUOTATION_LENGTH = 80;
 
 /**
- * One line of text for a person. What was read is shortened and escaped, so that a broken file
- * cannot write control sequences to a terminal.
+ * Formats an error as one line of text. The quoted input is truncated and escaped, so that a
+ * malformed file cannot write control sequences to a terminal.
  *
  * @example
  * formatRuleError({ line: 3, found: 'ratte', expected: 'a setting of workspace', suggestion: 'rate' });
@@ -27,9 +27,11 @@
 }
 
 function quote(text: string): string {
-  const escaped = text.slice(0, LONGEST_QUOTATION).replace(/[\p{C}\p{Zl}\p{Zp}]/gu, character => {
-    const codePoint = character.codePointAt(0) ?? 0;
-    return `<U+${codePoint.toString(16).toUpperCase().padStart(4, '0')}>`;
-  });
-  return text.length > LONGEST_QUOTATION ? `${escaped}…` : escaped;
+  const escaped = text
+    .slice(0, MAXIMUM_QUOTATION_LENGTH)
+    .replace(/[\p{C}\p{Zl}\p{Zp}]/gu, character => {
+      const codePoint = character.codePointAt(0) ?? 0;
+      return `<U+${codePoint.toString(16).toUpperCase().padStart(4, '0')}>`;
+    });
+  return text.length > MAXIMUM_QUOTATION_LENGTH ? `${escaped}…` : escaped;
 }
--- a/packages/rules/src/ruleGrammar.ts
+++ b/packages/rules/src/ruleGrammar.ts
@@ -3,33 +3,33 @@
 import type { Rule, RuleKind, RuleOf, RuleOrigin } from './rule.js';
 import type { SettingReader } from './settingReader.js';
 
-/** One setting as it is written: `name=value`. */
-export interface WrittenSetting {
+/** Setting of a rule line, printed as `name=value`. */
+export interface SerializedSetting {
   readonly name: string;
   readonly value: string;
 }
 
-/** What a kind of rule accepts, how a rule of it is built and how it is written. */
+/** Grammar of one kind of rule: its settings, and how its rules are built and serialized. */
 export interface RuleGrammar<Kind extends RuleKind> {
-  /** Every setting that the kind knows, in canonical order. */
-  readonly settings: readonly string[];
-  /** Names that no rule of the kind may have. */
+  /** Names of all settings of the kind, in canonical order. */
+  readonly settingNames: readonly string[];
+  /** Names that rules of the kind must not have. */
   readonly reservedNames: readonly string[];
-  /** Builds the rule; problems go to the reader. */
+  /** Builds a rule from its settings; errors are collected by the reader. */
   build(name: string, reader: SettingReader, origin: RuleOrigin): RuleOf<Kind>;
-  /** The settings of a rule, in canonical order; those equal to the default are left out. */
-  write(rule: RuleOf<Kind>): readonly WrittenSetting[];
+  /** Serializes the settings of a rule in canonical order, omitting those equal to the default. */
+  serialize(rule: RuleOf<Kind>): readonly SerializedSetting[];
 }
 
-/** The grammar of every kind. */
+/** Grammars by kind of rule. */
 type RuleGrammars = { readonly [Kind in RuleKind]: RuleGrammar<Kind> };
 
-const SECONDS_A_DAY = 86_400;
-const LARGEST_COUNT = 1_000_000_000;
+const SECONDS_PER_DAY = 86_400;
+const MAXIMUM_COUNT = 1_000_000_000;
 const KEY_HASH_PATTERN = /^[0-9a-f]{64}$/;
 const PATH_PATTERN = /^(\/[A-Za-z0-9_~-][A-Za-z0-9._~-]*)+$/;
-const LONGEST_PATH = 512;
-/** First segment of the paths that the callers' interface itself uses. */
+const MAXIMUM_PATH_LENGTH = 512;
+/** Matches `/v1` and the paths below it, which are reserved for the callers' API. */
 const RESERVED_PATH_PATTERN = /^\/v1(\/|$)/;
 
 const defaults = {
@@ -38,140 +38,143 @@
   fencing: 'ignored',
   idempotent: 'no',
   idleSeconds: 600,
-  lifetimeSeconds: SECONDS_A_DAY,
+  lifetimeSeconds: SECONDS_PER_DAY,
   programs: 10_000,
   protocol: 'plain',
   timeoutSeconds: 60,
   weight: 1,
 } as const;
 
-/** The grammar of every kind; docs/RULES.md shows the same table. */
+/** Grammars of all kinds of rule; docs/RULES.md contains the same tables. */
 export const ruleGrammars: RuleGrammars = {
   key: {
-    settings: ['workspace', 'hash'],
+    settingNames: ['workspace', 'hash'],
     reservedNames: [],
     build: (name, reader, origin) => ({
       ...origin,
-      hash: reader.matching(
+      hash: reader.readMatching(
         'hash',
         text => KEY_HASH_PATTERN.test(text),
         '64 hexadecimal digits in lower case',
       ) as KeyHash,
       kind: 'key',
       name,
-      workspace: reader.identifier('workspace') as WorkspaceName,
+      workspace: reader.readIdentifier('workspace') as WorkspaceName,
     }),
-    write: rule => [written('workspace', rule.workspace), written('hash', rule.hash)],
+    serialize: rule => [
+      serializeSetting('workspace', rule.workspace),
+      serializeSetting('hash', rule.hash),
+    ],
   },
   program: {
-    settings: ['services', 'tokens', 'calls', 'idle', 'lifetime'],
+    settingNames: ['services', 'tokens', 'calls', 'idle', 'lifetime'],
     reservedNames: [],
     build: (name, reader, origin) => ({
       ...origin,
-      calls: reader.integer('calls', { maximum: LARGEST_COUNT, minimum: 1 }),
-      idleSeconds: reader.integer('idle', {
-        fallback: defaults.idleSeconds,
-        maximum: SECONDS_A_DAY,
+      calls: reader.readInteger('calls', { maximum: MAXIMUM_COUNT, minimum: 1 }),
+      idleSeconds: reader.readInteger('idle', {
+        defaultValue: defaults.idleSeconds,
+        maximum: SECONDS_PER_DAY,
         minimum: 1,
       }),
       kind: 'program',
-      lifetimeSeconds: reader.integer('lifetime', {
-        fallback: defaults.lifetimeSeconds,
-        maximum: 30 * SECONDS_A_DAY,
+      lifetimeSeconds: reader.readInteger('lifetime', {
+        defaultValue: defaults.lifetimeSeconds,
+        maximum: 30 * SECONDS_PER_DAY,
         minimum: 1,
       }),
       name,
-      services: reader.identifiers('services') as readonly ServiceName[],
-      tokens: reader.integer('tokens', { maximum: LARGEST_COUNT, minimum: 1 }),
+      services: reader.readIdentifiers('services') as readonly ServiceName[],
+      tokens: reader.readInteger('tokens', { maximum: MAXIMUM_COUNT, minimum: 1 }),
     }),
-    write: rule => [
-      written('services', rule.services.join(',')),
-      written('tokens', rule.tokens),
-      written('calls', rule.calls),
-      ...writtenUnless('idle', rule.idleSeconds, defaults.idleSeconds),
-      ...writtenUnless('lifetime', rule.lifetimeSeconds, defaults.lifetimeSeconds),
+    serialize: rule => [
+      serializeSetting('services', rule.services.join(',')),
+      serializeSetting('tokens', rule.tokens),
+      serializeSetting('calls', rule.calls),
+      ...serializeUnlessDefault('idle', rule.idleSeconds, defaults.idleSeconds),
+      ...serializeUnlessDefault('lifetime', rule.lifetimeSeconds, defaults.lifetimeSeconds),
     ],
   },
   route: {
-    settings: ['path', 'service', 'access'],
+    settingNames: ['path', 'service', 'access'],
     reservedNames: [],
     build: (name, reader, origin) => ({
       ...origin,
-      access: reader.word('access', ['key', 'open'], defaults.access),
+      access: reader.readWord('access', ['key', 'open'], defaults.access),
       kind: 'route',
       name,
-      path: reader.matching('path', isRoutePath, 'a path such as /outages, outside /v1'),
-      service: reader.identifier('service') as ServiceName,
+      path: reader.readMatching('path', isRoutePath, 'a path such as /outages, outside /v1'),
+      service: reader.readIdentifier('service') as ServiceName,
     }),
-    write: rule => [
-      written('path', rule.path),
-      written('service', rule.service),
-      ...writtenUnless('access', rule.access, defaults.access),
+    serialize: rule => [
+      serializeSetting('path', rule.path),
+      serializeSetting('service', rule.service),
+      ...serializeUnlessDefault('access', rule.access, defaults.access),
     ],
   },
   service: {
-    settings: ['protocol', 'idempotent', 'fencing', 'timeout', 'concurrency'],
+    settingNames: ['protocol', 'idempotent', 'fencing', 'timeout', 'concurrency'],
     reservedNames: [],
     build: (name, reader, origin) => ({
       ...origin,
-      concurrency: reader.integer('concurrency', {
-        fallback: defaults.concurrency,
+      concurrency: reader.readInteger('concurrency', {
+        defaultValue: defaults.concurrency,
         maximum: 10_000,
         minimum: 1,
       }),
-      fencing: reader.word('fencing', ['checked', 'ignored'], defaults.fencing),
-      idempotent: reader.word('idempotent', ['yes', 'no'], defaults.idempotent) === 'yes',
+      fencing: reader.readWord('fencing', ['checked', 'ignored'], defaults.fencing),
+      idempotent: reader.readWord('idempotent', ['yes', 'no'], defaults.idempotent) === 'yes',
       kind: 'service',
       name: name as ServiceName,
-      protocol: reader.word('protocol', ['engine', 'plain'], defaults.protocol),
-      timeoutSeconds: reader.decimal('timeout', {
-        fallback: defaults.timeoutSeconds,
-        maximum: SECONDS_A_DAY,
+      protocol: reader.readWord('protocol', ['engine', 'plain'], defaults.protocol),
+      timeoutSeconds: reader.readDecimal('timeout', {
+        defaultValue: defaults.timeoutSeconds,
+        maximum: SECONDS_PER_DAY,
         minimum: 1,
       }),
     }),
-    write: rule => [
-      ...writtenUnless('protocol', rule.protocol, defaults.protocol),
-      ...writtenUnless('idempotent', rule.idempotent ? 'yes' : 'no', defaults.idempotent),
-      ...writtenUnless('fencing', rule.fencing, defaults.fencing),
-      ...writtenUnless('timeout', rule.timeoutSeconds, defaults.timeoutSeconds),
-      ...writtenUnless('concurrency', rule.concurrency, defaults.concurrency),
+    serialize: rule => [
+      ...serializeUnlessDefault('protocol', rule.protocol, defaults.protocol),
+      ...serializeUnlessDefault('idempotent', rule.idempotent ? 'yes' : 'no', defaults.idempotent),
+      ...serializeUnlessDefault('fencing', rule.fencing, defaults.fencing),
+      ...serializeUnlessDefault('timeout', rule.timeoutSeconds, defaults.timeoutSeconds),
+      ...serializeUnlessDefault('concurrency', rule.concurrency, defaults.concurrency),
     ],
   },
   workspace: {
-    settings: ['rate', 'burst', 'weight', 'programs'],
-    // Requests on open routes are counted under this name.
+    settingNames: ['rate', 'burst', 'weight', 'programs'],
+    // Requests on routes with access=open are counted under the workspace name `open`.
     reservedNames: ['open'],
     build: (name, reader, origin) => ({
       ...origin,
-      burst: reader.integer('burst', { maximum: LARGEST_COUNT, minimum: 1 }),
+      burst: reader.readInteger('burst', { maximum: MAXIMUM_COUNT, minimum: 1 }),
       kind: 'workspace',
       name: name as WorkspaceName,
-      programs: reader.integer('programs', {
-        fallback: defaults.programs,
-        maximum: LARGEST_COUNT,
+      programs: reader.readInteger('programs', {
+        defaultValue: defaults.programs,
+        maximum: MAXIMUM_COUNT,
         minimum: 1,
       }),
-      rate: reader.decimal('rate', { maximum: LARGEST_COUNT, minimum: 0.001 }),
-      weight: reader.decimal('weight', {
-        fallback: defaults.weight,
+      rate: reader.readDecimal('rate', { maximum: MAXIMUM_COUNT, minimum: 0.001 }),
+      weight: reader.readDecimal('weight', {
+        defaultValue: defaults.weight,
         maximum: 1_000,
         minimum: 0.01,
       }),
     }),
-    write: rule => [
-      written('rate', rule.rate),
-      written('burst', rule.burst),
-      ...writtenUnless('weight', rule.weight, defaults.weight),
-      ...writtenUnless('programs', rule.programs, defaults.programs),
+    serialize: rule => [
+      serializeSetting('rate', rule.rate),
+      serializeSetting('burst', rule.burst),
+      ...serializeUnlessDefault('weight', rule.weight, defaults.weight),
+      ...serializeUnlessDefault('programs', rule.programs, defaults.programs),
     ],
   },
 };
 
-/** Every kind of rule, in the order of docs/RULES.md. */
+/** All kinds of rule, in the order of docs/RULES.md. */
 export const ruleKinds = Object.keys(ruleGrammars) as readonly RuleKind[];
 
-/** Builds a rule of any kind. */
+/** Builds a rule of any kind; errors are collected by the reader. */
 export function buildRule(
   kind: RuleKind,
   name: string,
@@ -181,36 +184,38 @@
   return ruleGrammars[kind].build(name, reader, origin);
 }
 
-/** The settings of a rule of any kind, in canonical order. */
-export function writeSettings(rule: Rule): readonly WrittenSetting[] {
+/** Serializes the settings of a rule of any kind in canonical order. */
+export function serializeSettings(rule: Rule): readonly SerializedSetting[] {
   switch (rule.kind) {
     case 'key':
-      return ruleGrammars.key.write(rule);
+      return ruleGrammars.key.serialize(rule);
     case 'program':
-      return ruleGrammars.program.write(rule);
+      return ruleGrammars.program.serialize(rule);
     case 'route':
-      return ruleGrammars.route.write(rule);
+      return ruleGrammars.route.serialize(rule);
     case 'service':
-      return ruleGrammars.service.write(rule);
+      return ruleGrammars.service.serialize(rule);
     case 'workspace':
-      return ruleGrammars.workspace.write(rule);
+      return ruleGrammars.workspace.serialize(rule);
   }
 }
 
 function isRoutePath(text: string): boolean {
   return (
-    text.length <= LONGEST_PATH && PATH_PATTERN.test(text) && !RESERVED_PATH_PATTERN.test(text)
+    text.length <= MAXIMUM_PATH_LENGTH &&
+    PATH_PATTERN.test(text) &&
+    !RESERVED_PATH_PATTERN.test(text)
   );
 }
 
-function written(name: string, value: number | string): WrittenSetting {
+function serializeSetting(name: string, value: number | string): SerializedSetting {
   return { name, value: String(value) };
 }
 
-function writtenUnless(
+function serializeUnlessDefault(
   name: string,
   value: number | string,
-  fallback: number | string,
-): readonly WrittenSetting[] {
-  return value === fallback ? [] : [written(name, value)];
+  defaultValue: number | string,
+): readonly SerializedSetting[] {
+  return value === defaultValue ? [] : [serializeSetting(name, value)];
 }
--- a/packages/rules/src/ruleIndex.ts
+++ b/packages/rules/src/ruleIndex.ts
@@ -4,87 +4,90 @@
 import { ConfigurationBuilder } from './configurationBuilder.js';
 import { withSuggestion } from './parseRuleLine.js';
 
-/** References beyond these get no suggestion, which bounds the time that a broken file costs. */
-const MOST_SUGGESTIONS = 100;
+/** Further reference errors get no suggestion, which bounds the time spent on a malformed file. */
+const MAXIMUM_SUGGESTIONS = 100;
 
-/** What a rule must not share with another rule. */
-interface Claim {
-  /** What is claimed, such as `path /outages`. */
-  readonly subject: string;
+/** Property of a rule that must be unique among all rules. */
+interface UniqueKey {
+  /** Kind and value of the property, such as `path /outages`. */
+  readonly uniqueKey: string;
+  /** Expectation named in the error for a duplicate. */
   readonly expected: string;
 }
 
-/** A mention of another rule. */
+/** Reference from one rule to another. */
 interface Reference {
   readonly kind: 'service' | 'workspace';
   readonly name: string;
 }
 
 /**
- * Rules with what they claim and refer to, changed rule by rule. Errors are found from the
- * difference alone, so that a change costs no more with many rules than with few. After an error
- * the index is to be thrown away.
+ * Index of rules by their unique keys and references, updated one rule at a time. Only changed
+ * rules and their dependents are checked, so the cost of a change does not grow with the number of
+ * rules. After an error the index is inconsistent and must be discarded.
  */
 export class RuleIndex {
-  /** The rules by kind. */
+  /** Builder of the configuration, which contains the same rules. */
   public readonly builder = new ConfigurationBuilder();
-  private readonly claims = new Map<string, Rule>();
-  private readonly dependents = new Map<string, Set<Rule>>();
+  private readonly rulesByUniqueKey = new Map<string, Rule>();
+  private readonly dependentsByTarget = new Map<string, Set<Rule>>();
 
-  /** Adds a rule; gives the errors of what it shares with others. */
+  /** Adds a rule; returns an error for each unique key that another rule already has. */
   public insert(rule: Rule): readonly RuleError[] {
     const errors: RuleError[] = [];
-    for (const { expected, subject } of claimsOf(rule)) {
-      const first = this.claims.get(subject);
+    for (const { expected, uniqueKey } of listUniqueKeys(rule)) {
+      const first = this.rulesByUniqueKey.get(uniqueKey);
       if (first === undefined) {
-        this.claims.set(subject, rule);
+        this.rulesByUniqueKey.set(uniqueKey, rule);
       } else {
         const text = `${expected}; the first is ${first.kind} ${first.name}`;
-        errors.push({ expected: text, found: subject, line: rule.line });
+        errors.push({ expected: text, found: uniqueKey, line: rule.line });
       }
     }
-    for (const reference of referencesOf(rule)) {
-      const subject = `${reference.kind} ${reference.name}`;
-      const rules = this.dependents.get(subject) ?? new Set();
-      this.dependents.set(subject, rules.add(rule));
+    for (const reference of listReferences(rule)) {
+      const targetKey = `${reference.kind} ${reference.name}`;
+      const dependentRules = this.dependentsByTarget.get(targetKey) ?? new Set();
+      this.dependentsByTarget.set(targetKey, dependentRules.add(rule));
     }
     this.builder.insert(rule);
     return errors;
   }
 
-  /** Takes a rule out. */
+  /** Removes a rule. */
   public remove(rule: Rule): void {
-    for (const { subject } of claimsOf(rule)) {
-      this.claims.delete(subject);
+    for (const { uniqueKey } of listUniqueKeys(rule)) {
+      this.rulesByUniqueKey.delete(uniqueKey);
     }
-    for (const reference of referencesOf(rule)) {
-      const subject = `${reference.kind} ${reference.name}`;
-      const rules = this.dependents.get(subject);
-      rules?.delete(rule);
-      if (rules?.size === 0) {
-        this.dependents.delete(subject);
+    for (const reference of listReferences(rule)) {
+      const targetKey = `${reference.kind} ${reference.name}`;
+      const dependentRules = this.dependentsByTarget.get(targetKey);
+      dependentRules?.delete(rule);
+      if (dependentRules?.size === 0) {
+        this.dependentsByTarget.delete(targetKey);
       }
     }
     this.builder.remove(rule);
   }
 
-  /** The references that do not hold after rules were put in or taken out. */
+  /** Finds the references that are invalid after the given rules were added or removed. */
   public findBrokenReferences(changed: readonly Rule[]): readonly RuleError[] {
-    const judged = new Set<Rule>();
+    const rulesToCheck = new Set<Rule>();
     for (const rule of changed) {
-      if (this.claims.get(identityOf(rule)) === rule) {
-        judged.add(rule);
+      if (this.rulesByUniqueKey.get(formatKindAndName(rule)) === rule) {
+        rulesToCheck.add(rule);
       }
-      for (const dependent of this.dependents.get(identityOf(rule)) ?? []) {
-        judged.add(dependent);
+      for (const dependent of this.dependentsByTarget.get(formatKindAndName(rule)) ?? []) {
+        rulesToCheck.add(dependent);
       }
     }
     const errors: RuleError[] = [];
-    for (const rule of judged) {
-      for (const reference of referencesOf(rule)) {
+    for (const rule of rulesToCheck) {
+      for (const reference of listReferences(rule)) {
         const error = this.checkReference(rule, reference);
         if (error !== undefined) {
-          errors.push(errors.length < MOST_SUGGESTIONS ? this.suggest(error, reference) : error);
+          errors.push(
+            errors.length < MAXIMUM_SUGGESTIONS ? this.addSuggestion(error, reference) : error,
+          );
         }
       }
     }
@@ -92,43 +95,43 @@
   }
 
   private checkReference(rule: Rule, { kind, name }: Reference): RuleError | undefined {
-    const target = this.claims.get(`${kind} ${name}`);
+    const target = this.rulesByUniqueKey.get(`${kind} ${name}`);
     if (target === undefined) {
       return { expected: `the name of a ${kind} rule`, found: name, line: rule.line };
     }
-    const needsPlain = rule.kind === 'route' && target.kind === 'service';
-    return needsPlain && target.protocol !== 'plain'
+    const needsPlainProtocol = rule.kind === 'route' && target.kind === 'service';
+    return needsPlainProtocol && target.protocol !== 'plain'
       ? { expected: 'a service with protocol=plain', found: name, line: rule.line }
       : undefined;
   }
 
-  private suggest(error: RuleError, { kind, name }: Reference): RuleError {
-    return this.claims.has(`${kind} ${name}`)
+  private addSuggestion(error: RuleError, { kind, name }: Reference): RuleError {
+    return this.rulesByUniqueKey.has(`${kind} ${name}`)
       ? error
-      : withSuggestion(error, this.builder.names(kind));
+      : withSuggestion(error, this.builder.listNames(kind));
   }
 }
 
-/** What stands for a rule in references: its kind and name. */
-function identityOf(rule: Rule): string {
+/** Formats the kind and name of a rule, by which other rules refer to it. */
+function formatKindAndName(rule: Rule): string {
   return `${rule.kind} ${rule.name}`;
 }
 
-function claimsOf(rule: Rule): readonly Claim[] {
-  const identity = { expected: 'each rule once', subject: identityOf(rule) };
+function listUniqueKeys(rule: Rule): readonly UniqueKey[] {
+  const kindAndName = { expected: 'each rule once', uniqueKey: formatKindAndName(rule) };
   switch (rule.kind) {
     case 'key':
-      return [identity, { expected: 'each hash once', subject: `hash ${rule.hash}` }];
+      return [kindAndName, { expected: 'each hash once', uniqueKey: `hash ${rule.hash}` }];
     case 'route':
-      return [identity, { expected: 'each path once', subject: `path ${rule.path}` }];
+      return [kindAndName, { expected: 'each path once', uniqueKey: `path ${rule.path}` }];
     case 'program':
     case 'service':
     case 'workspace':
-      return [identity];
+      return [kindAndName];
   }
 }
 
-function referencesOf(rule: Rule): readonly Reference[] {
+function listReferences(rule: Rule): readonly Reference[] {
   switch (rule.kind) {
     case 'key':
       return [{ kind: 'workspace', name: rule.workspace }];
--- a/packages/rules/src/ruleLines.ts
+++ b/packages/rules/src/ruleLines.ts
@@ -7,9 +7,9 @@
 import { printRule } from './printRule.js';
 
 /**
- * The rules of a file in canonical form, one line each.
+ * Parses a rule file and prints its rules in canonical form, one line each.
  *
- * @returns the lines, or every error with its line
+ * @returns the lines, or all errors with their line numbers
  * @example
  * ruleLines('# head\nworkspace  a burst=1 rate=1 # b: c').unwrap(); // ['workspace a rate=1 burst=1 # b: c']
  */
@@ -18,19 +18,19 @@
 }
 
 /**
- * What turns one list of canonical lines into another.
+ * Computes the difference that changes one list of canonical lines into another.
  *
  * @example
  * differenceOf(['a', 'b'], ['b', 'c']); // { added: ['c'], removed: ['a'] }
  */
 export function differenceOf(
   current: readonly string[],
-  wanted: readonly string[],
+  desired: readonly string[],
 ): RuleDifference {
-  const before = new Set(current);
-  const after = new Set(wanted);
+  const currentLines = new Set(current);
+  const desiredLines = new Set(desired);
   return {
-    added: wanted.filter(line => !before.has(line)),
-    removed: current.filter(line => !after.has(line)),
+    added: desired.filter(line => !currentLines.has(line)),
+    removed: current.filter(line => !desiredLines.has(line)),
   };
 }
--- a/packages/rules/src/ruleSet.ts
+++ b/packages/rules/src/ruleSet.ts
@@ -9,18 +9,19 @@
 import { parseRuleLine } from './parseRuleLine.js';
 import { RuleIndex } from './ruleIndex.js';
 
-/** Lines that a change takes out and puts in; a rule that changes is in both. */
+/** Lines that a change removes and adds; a modified rule appears in both lists. */
 export interface RuleDifference {
   readonly removed: readonly string[];
   readonly added: readonly string[];
 }
 
-/** Most rules of one version. */
-export const MOST_RULES = 100_000;
+/** Maximum number of rules in one version. */
+export const MAXIMUM_RULES = 100_000;
 
 /**
- * The rules in force as lines, changed by differences. A difference takes effect whole or not at
- * all; what it costs depends on its own size.
+ * Current rules by their lines, changed by differences. A difference is applied completely or not
+ * at all. The cost of a valid one depends on its own size and on the rules that refer to the
+ * changed ones, not on the size of the set.
  *
  * @example
  * const rules = new RuleSet();
@@ -31,29 +32,28 @@
   private readonly rules = new Map<string, Rule>();
   private index = new RuleIndex();
 
-  /** Number of rules. */
+  /** Current number of rules. */
   public get size(): number {
     return this.rules.size;
   }
 
-  /** The lines, in no order. */
+  /** Lines of the rules, in no particular order. */
   public get lines(): readonly string[] {
     return [...this.rules.keys()];
   }
 
-  /** Finds the rule of a line. */
+  /** Finds the rule of a line; returns `undefined` if the line is not in the set. */
   public find(line: string): Rule | undefined {
     return this.rules.get(line);
   }
 
   /**
-   * Applies a difference.
+   * Applies a difference. Nothing changes if it has errors.
    *
-   * @returns the rules taken out and put in, or every error, with lines counted within `added`;
-   * after errors nothing has changed
+   * @returns the rules removed and added, or all errors, whose line numbers count within `added`
    */
   public apply(difference: RuleDifference): Result<RuleChange, readonly RuleError[]> {
-    const change = this.readChange(difference);
+    const change = this.parseDifference(difference);
     if (change.err) {
       return change;
     }
@@ -77,14 +77,17 @@
     return Ok({ added: [...added.values()], removed: [...removed.values()] });
   }
 
-  /** The rules as a configuration. */
+  /** Builds a configuration from the current rules. */
   public configuration(version: ConfigurationVersion): Configuration {
     return this.index.builder.build(version);
   }
 
-  private readChange({ added, removed }: RuleDifference): Result<LineChange, readonly RuleError[]> {
+  private parseDifference({
+    added,
+    removed,
+  }: RuleDifference): Result<ParsedDifference, readonly RuleError[]> {
     const errors: RuleError[] = [];
-    const change: LineChange = { added: new Map(), removed: new Map() };
+    const change: ParsedDifference = { added: new Map(), removed: new Map() };
     for (const line of removed) {
       const rule = this.rules.get(line);
       if (rule === undefined || change.removed.has(line)) {
@@ -103,8 +106,12 @@
         change.added.set(line, rule.val);
       }
     }
-    if (this.rules.size - change.removed.size + change.added.size > MOST_RULES) {
-      errors.push({ expected: `at most ${MOST_RULES} rules`, found: 'more', line: added.length });
+    if (this.rules.size - change.removed.size + change.added.size > MAXIMUM_RULES) {
+      errors.push({
+        expected: `at most ${MAXIMUM_RULES} rules`,
+        found: 'more',
+        line: added.length,
+      });
     }
     return errors.length === 0 ? Ok(change) : Err(errors);
   }
@@ -117,13 +124,13 @@
   }
 }
 
-/** What a difference changed. */
+/** Rules removed and added by a difference. */
 export interface RuleChange {
   readonly added: readonly Rule[];
   readonly removed: readonly Rule[];
 }
 
-interface LineChange {
+interface ParsedDifference {
   readonly added: Map<string, Rule>;
   readonly removed: Map<string, Rule>;
 }
--- a/packages/rules/src/settingReader.ts
+++ b/packages/rules/src/settingReader.ts
@@ -1,113 +1,122 @@
 import { isIdentifier } from '@zincring/core';
 
-/** A setting that was found wrong. */
-export interface SettingFailure {
-  /** What was read. */
+/** Error in one setting. */
+export interface SettingError {
+  /** Text that was read. */
   readonly found: string;
-  /** What was expected instead. */
+  /** Description of the expected text. */
   readonly expected: string;
 }
 
-/** Bounds of a number, and what stands for it when the setting is left out. */
+/** Bounds and default value of a numeric setting. */
 export interface NumberBounds {
   readonly minimum: number;
   readonly maximum: number;
-  /** Without one the setting is required. */
-  readonly fallback?: number;
+  /** Value if the setting is omitted; without a default the setting is required. */
+  readonly defaultValue?: number;
 }
 
-/** Most digits of a number, before and after the point together. */
-const LONGEST_NUMBER = 16;
+/** Maximum length of a number in characters, including the decimal point. */
+const MAXIMUM_NUMBER_LENGTH = 16;
 
-/** The settings of one rule while they are read; what fails is collected, nothing is thrown. */
+/** Reads the settings of one rule. Errors are collected instead of thrown. */
 export class SettingReader {
-  private readonly failures: SettingFailure[] = [];
+  private readonly collectedErrors: SettingError[] = [];
 
   public constructor(private readonly settings: ReadonlyMap<string, string>) {}
 
-  /** What was found wrong so far. */
-  public get errors(): readonly SettingFailure[] {
-    return this.failures;
+  /** Errors found so far. */
+  public get errors(): readonly SettingError[] {
+    return this.collectedErrors;
   }
 
-  /** Reads a number, with decimals or without. */
-  public decimal(name: string, bounds: NumberBounds): number {
-    return this.number(name, bounds, /^\d+(\.\d+)?$/, 'NUMBER');
+  /** Reads a number with or without decimals. */
+  public readDecimal(name: string, bounds: NumberBounds): number {
+    return this.readNumber(name, bounds, /^\d+(\.\d+)?$/, 'NUMBER');
   }
 
   /** Reads a number without decimals. */
-  public integer(name: string, bounds: NumberBounds): number {
-    return this.number(name, bounds, /^\d+$/, 'INTEGER');
+  public readInteger(name: string, bounds: NumberBounds): number {
+    return this.readNumber(name, bounds, /^\d+$/, 'INTEGER');
   }
 
-  /** Reads one of several words. */
-  public word<Word extends string>(name: string, words: readonly Word[], fallback: Word): Word {
+  /** Reads one of several allowed words. */
+  public readWord<Word extends string>(
+    name: string,
+    allowedWords: readonly Word[],
+    defaultValue: Word,
+  ): Word {
     const text = this.settings.get(name);
     if (text === undefined) {
-      return fallback;
+      return defaultValue;
     }
-    const known = words.find(word => word === text);
-    if (known === undefined) {
-      this.fail(`${name}=${text}`, `${name}=${words.join('|')}`);
+    const matchingWord = allowedWords.find(word => word === text);
+    if (matchingWord === undefined) {
+      this.addError(`${name}=${text}`, `${name}=${allowedWords.join('|')}`);
     }
-    return known ?? fallback;
+    return matchingWord ?? defaultValue;
   }
 
   /** Reads an identifier. */
-  public identifier(name: string): string {
-    return this.matching(name, isIdentifier, 'an identifier');
+  public readIdentifier(name: string): string {
+    return this.readMatching(name, isIdentifier, 'an identifier');
   }
 
-  /** Reads different identifiers separated by commas. */
-  public identifiers(name: string): readonly string[] {
-    const text = this.matching(
+  /** Reads distinct identifiers separated by commas. */
+  public readIdentifiers(name: string): readonly string[] {
+    const text = this.readMatching(
       name,
-      list => isListOfIdentifiers(list.split(',')),
+      list => areDistinctIdentifiers(list.split(',')),
       'different identifiers separated by commas',
     );
     return text.split(',');
   }
 
-  /** Reads text that passes a test. */
-  public matching(name: string, isValid: (text: string) => boolean, expected: string): string {
+  /** Reads text that satisfies `isValid`; `expected` describes valid text in the error. */
+  public readMatching(name: string, isValid: (text: string) => boolean, expected: string): string {
     const text = this.settings.get(name);
     if (text === undefined) {
-      this.missing(name);
+      this.addMissingError(name);
       return '';
     }
     if (!isValid(text)) {
-      this.fail(`${name}=${text}`, `${name}= with ${expected}`);
+      this.addError(`${name}=${text}`, `${name}= with ${expected}`);
     }
     return text;
   }
 
-  private number(name: string, bounds: NumberBounds, pattern: RegExp, sort: string): number {
+  private readNumber(
+    name: string,
+    bounds: NumberBounds,
+    pattern: RegExp,
+    typeName: string,
+  ): number {
     const text = this.settings.get(name);
     if (text === undefined) {
-      if (bounds.fallback === undefined) {
-        this.missing(name);
+      if (bounds.defaultValue === undefined) {
+        this.addMissingError(name);
       }
-      return bounds.fallback ?? bounds.minimum;
+      return bounds.defaultValue ?? bounds.minimum;
     }
-    const isNumber = text.length <= LONGEST_NUMBER && pattern.test(text);
+    const isNumber = text.length <= MAXIMUM_NUMBER_LENGTH && pattern.test(text);
     const value = isNumber ? Number(text) : Number.NaN;
     if (!(value >= bounds.minimum && value <= bounds.maximum)) {
-      const expected = `${name}=${sort} from ${bounds.minimum} to ${bounds.maximum}`;
-      this.fail(`${name}=${text}`, expected);
+      const expected = `${name}=${typeName} from ${bounds.minimum} to ${bounds.maximum}`;
+      this.addError(`${name}=${text}`, expected);
       return bounds.minimum;
     }
     return value;
   }
 
-  private missing(name: string): void {
-    this.fail('nothing', `the setting ${name}=`);
+  private addMissingError(name: string): void {
+    this.addError('nothing', `the setting ${name}=`);
   }
 
-  private fail(found: string, expected: string): void {
-    this.failures.push({ expected, found });
+  private addError(found: string, expected: string): void {
+    this.collectedErrors.push({ expected, found });
   }
 }
 
-function isListOfIdentifiers(words: readonly string[]): boolean {
+function areDistinctIdentifiers(words: readonly string[]): boolean {
   return words.every(isIdentifier) && new Set(words).size === words.length;
 }
--- a/packages/rules/tests/parseRules.test.ts
+++ b/packages/rules/tests/parseRules.test.ts
@@ -12,44 +12,47 @@
 
 const SEED = 20_261_203;
 const HASH = 'a'.repeat(64);
-const base = ['workspace utility rate=50 burst=100 # dana: pilot', 'service desk # omar: desk'];
+const validLines = [
+  'workspace utility rate=50 burst=100 # dana: pilot',
+  'service desk # omar: desk',
+];
 
-function errorsOf(text: string): readonly string[] {
+function formatErrors(text: string): readonly string[] {
   const parsed = parseRules(text);
   return parsed.ok ? [] : parsed.val.map(formatRuleError);
 }
 
 describe('parseRules', () => {
   it.each([
-    ['nothing', ''],
+    ['an empty text', ''],
     ['comment lines and empty lines', '# head\n\n   \t\n  # more\n'],
-    ['CR LF and a byte order mark', `\ufeff${base.join('\r\n')}\r\n`],
-    ['tabs and many blanks', 'workspace\tutility   rate=0.5\t burst=1\t# dana:\tpilot'],
+    ['CR LF and a byte order mark', `\ufeff${validLines.join('\r\n')}\r\n`],
+    ['tabs and repeated spaces', 'workspace\tutility   rate=0.5\t burst=1\t# dana:\tpilot'],
     ['a hash sign within the reason', 'service desk # omar: ticket #12: moved'],
     ['Unicode in the comment', 'service desk # สมชาย: จองลานดูดาว – “nachts”'],
     ['every setting', 'service e protocol=engine fencing=checked timeout=1.5 concurrency=9 # a: b'],
     [
       'a route',
-      [...base, 'route out path=/outages/now service=desk access=open # a: b'].join('\n'),
+      [...validLines, 'route out path=/outages/now service=desk access=open # a: b'].join('\n'),
     ],
     [
       'nested routes',
       [
-        ...base,
+        ...validLines,
         'route a path=/a service=desk # a: b',
         'route b path=/a/b service=desk # a: b',
       ].join('\n'),
     ],
     [
-      'a reference forwards',
+      'a reference to a later rule',
       `key k workspace=w hash=${HASH} # a: b\nworkspace w rate=1 burst=1 # a: b`,
     ],
     [
-      'names that objects have',
+      'names of properties of Object.prototype',
       'service constructor # a: b\nprogram toString services=constructor tokens=1 calls=1 # a: b',
     ],
   ])('accepts %s', (_, text) => {
-    expect(errorsOf(text)).toEqual([]);
+    expect(formatErrors(text)).toEqual([]);
   });
 
   it.each([
@@ -137,42 +140,42 @@
       'line 1: found "5015 characters", expected at most 4096 characters a line',
     ],
   ])('refuses %s', (text, error) => {
-    expect(errorsOf(text)).toEqual([error]);
+    expect(formatErrors(text)).toEqual([error]);
   });
 
   it.each([
     [
-      'a workspace that is not there',
+      'a reference to an unknown workspace',
       `key k workspace=utilty hash=${HASH} # a: b`,
       'line 3: found "utilty", expected the name of a workspace rule; did you mean "utility"?',
     ],
     [
-      'a service that is not there',
+      'a reference to an unknown service',
       'program p services=desk,dsk tokens=1 calls=1 # a: b',
       'line 3: found "dsk", expected the name of a service rule; did you mean "desk"?',
     ],
     [
-      'a rule twice',
+      'a duplicate rule',
       'service desk timeout=5 # a: b',
       'line 3: found "service desk", expected each rule once; the first is service desk',
     ],
     [
-      'one hash for two keys',
+      'the same hash for two keys',
       `key k workspace=utility hash=${HASH} # a: b\nkey l workspace=utility hash=${HASH} # a: b`,
       `line 4: found "hash ${HASH}", expected each hash once; the first is key k`,
     ],
     [
-      'one path for two routes',
+      'the same path for two routes',
       'route a path=/x service=desk # a: b\nroute b path=/x service=desk # a: b',
       'line 4: found "path /x", expected each path once; the first is route a',
     ],
     [
-      'a route to an engine',
+      'a route to a service with protocol=engine',
       'service e protocol=engine # a: b\nroute a path=/x service=e # a: b',
       'line 4: found "e", expected a service with protocol=plain',
     ],
   ])('refuses %s', (_, text, error) => {
-    expect(errorsOf([...base, text].join('\n'))).toEqual([error]);
+    expect(formatErrors([...validLines, text].join('\n'))).toEqual([error]);
   });
 
   it.each([
@@ -189,27 +192,26 @@
     '/%41',
     `/${'x'.repeat(600)}`,
   ])('refuses the path %s', path => {
-    const errors = errorsOf([...base, `route a path=${path} service=desk # a: b`].join('\n'));
+    const errors = formatErrors(
+      [...validLines, `route a path=${path} service=desk # a: b`].join('\n'),
+    );
     expect(errors).toHaveLength(1);
     expect(errors[0]).toContain('a path such as /outages, outside /v1');
   });
 
-  it('tells every error at once, in the order of lines, up to a bound', () => {
-    expect(errorsOf('service\nkey x # a: b\nbad b # a: b').map(text => text.slice(0, 6))).toEqual([
-      'line 1',
-      'line 2',
-      'line 2',
-      'line 3',
-    ]);
-    const errors = errorsOf('service\n'.repeat(5_000));
+  it('reports all errors in the order of lines, up to a maximum number', () => {
+    expect(
+      formatErrors('service\nkey x # a: b\nbad b # a: b').map(text => text.slice(0, 6)),
+    ).toEqual(['line 1', 'line 2', 'line 2', 'line 3']);
+    const errors = formatErrors('service\n'.repeat(5_000));
     expect(errors).toHaveLength(101);
     expect(errors.at(-1)).toContain('4900 more errors');
   });
 
-  it('refuses files above the limits of lines and rules', () => {
-    expect(errorsOf('\n'.repeat(200_000))).toHaveLength(1);
+  it('refuses files with too many lines or rules', () => {
+    expect(formatErrors('\n'.repeat(200_000))).toHaveLength(1);
     const rules = Array.from({ length: 100_001 }, (_, index) => `service s${index} # a: b`);
-    expect(errorsOf(rules.join('\n'))).toEqual([
+    expect(formatErrors(rules.join('\n'))).toEqual([
       'line 100001: found "100001 rules", expected at most 100000 rules',
     ]);
   });
@@ -219,11 +221,11 @@
   const page = readFileSync(new URL('../../../docs/RULES.md', import.meta.url), 'utf8');
   const examples = [...page.matchAll(/```rules\n(.*?)```/gs)].map(match => match[1]).join('');
 
-  it('has examples that are valid together and show every kind and setting', () => {
-    expect(errorsOf(examples)).toEqual([]);
+  it('contains examples that are valid together and use every setting of every kind', () => {
+    expect(formatErrors(examples)).toEqual([]);
     for (const [kind, grammar] of Object.entries(ruleGrammars)) {
       const lines = examples.split('\n').filter(line => line.startsWith(`${kind} `));
-      for (const setting of grammar.settings) {
+      for (const setting of grammar.settingNames) {
         expect(
           lines.some(line => line.includes(` ${setting}=`)),
           `${kind} ${setting}`,
@@ -236,7 +238,7 @@
     for (const [kind, grammar] of Object.entries(ruleGrammars)) {
       const section = page.split(`\n## ${kind}\n`)[1]?.split('\n## ')[0] ?? '';
       const listed = [...section.matchAll(/^\| `([a-z]+)`/gm)].map(match => match[1]);
-      expect(listed).toEqual(grammar.settings);
+      expect(listed).toEqual(grammar.settingNames);
     }
   });
 });
@@ -254,7 +256,7 @@
   fc.string({ unit: 'binary', maxLength: 400 }),
   fc
     .array(fc.array(word, { maxLength: 9 }).map(words => words.join(' ')))
-    .map(all => all.join('\n')),
+    .map(lines => lines.join('\n')),
 );
 const comment = fc
   .tuple(
@@ -265,22 +267,29 @@
 const ruleText = fc
   .tuple(
     fc.oneof(
-      fc.tuple(name, digits, digits).map(([n, r, b]) => `workspace ${n} rate=${r} burst=${b}`),
-      fc.tuple(name, digits).map(([n, t]) => `service ${n} timeout=${t} idempotent=yes`),
+      fc
+        .tuple(name, digits, digits)
+        .map(([ruleName, rate, burst]) => `workspace ${ruleName} rate=${rate} burst=${burst}`),
+      fc
+        .tuple(name, digits)
+        .map(([ruleName, timeout]) => `service ${ruleName} timeout=${timeout} idempotent=yes`),
       fc
         .tuple(name, name, fc.nat())
-        .map(([n, s, t]) => `service ${s} # a: b\nprogram ${n} services=${s} tokens=${t} calls=5`),
+        .map(
+          ([ruleName, serviceName, tokens]) =>
+            `service ${serviceName} # a: b\nprogram ${ruleName} services=${serviceName} tokens=${tokens} calls=5`,
+        ),
     ),
     comment,
   )
   .map(parts => parts.join(' '));
 
-function meaningOf(rule: Rule): unknown {
+function omitLineNumber(rule: Rule): unknown {
   return { ...rule, line: 0 };
 }
 
 describe('any text', () => {
-  it('gives rules or clear errors, never an exception', () => {
+  it('is parsed to rules or printable errors, never to an exception', () => {
     fc.assert(
       fc.property(anyText, text => {
         const parsed = parseRules(text);
@@ -300,21 +309,21 @@
     );
   });
 
-  it('parses again to the same rules after it was printed', () => {
-    let printed = 0;
+  it('is parsed to the same rules after printing', () => {
+    let printedCount = 0;
     fc.assert(
       fc.property(ruleText, text => {
         const parsed = parseRules(text);
         if (parsed.err) {
           return;
         }
-        printed++;
-        const again = parseRules(printRules(parsed.val)).unwrap();
-        expect(again.map(meaningOf)).toEqual(parsed.val.map(meaningOf));
-        expect(again.map(printRule)).toEqual(parsed.val.map(printRule));
+        printedCount++;
+        const reparsed = parseRules(printRules(parsed.val)).unwrap();
+        expect(reparsed.map(omitLineNumber)).toEqual(parsed.val.map(omitLineNumber));
+        expect(reparsed.map(printRule)).toEqual(parsed.val.map(printRule));
       }),
       { numRuns: 3_000, seed: SEED },
     );
-    expect(printed).toBeGreaterThan(500);
+    expect(printedCount).toBeGreaterThan(500);
   });
 });
--- a/packages/rules/tests/ruleSet.test.ts
+++ b/packages/rules/tests/ruleSet.test.ts
@@ -9,10 +9,12 @@
 
 const SEED = 4_711;
 const VERSION = 1 as ConfigurationVersion;
-const hash = (digit: number): string => String(digit).repeat(64);
+const hashOfDigit = (digit: number): string => String(digit).repeat(64);
 
-const candidates = [
-  ...[1, 2].flatMap(rate => ['a', 'b'].map(w => `workspace ${w} rate=${rate} burst=1 # q: r`)),
+const candidateLines = [
+  ...[1, 2].flatMap(rate =>
+    ['a', 'b'].map(workspace => `workspace ${workspace} rate=${rate} burst=1 # q: r`),
+  ),
   'service s # q: r',
   'service s protocol=engine # q: r',
   'service t # q: r',
@@ -21,32 +23,32 @@
   'route x path=/x service=s # q: r',
   'route y path=/x service=t # q: r',
   ...[1, 2].flatMap(digit =>
-    ['k', 'l'].map(key => `key ${key} workspace=a hash=${hash(digit)} # q: r`),
+    ['k', 'l'].map(key => `key ${key} workspace=a hash=${hashOfDigit(digit)} # q: r`),
   ),
 ];
 
 describe('RuleSet', () => {
-  it('accepts exactly the differences whose result parses as a whole', () => {
-    const steps = fc.array(fc.subarray(candidates), { maxLength: 12 });
+  it('accepts a difference exactly if the resulting rule file is valid', () => {
+    const desiredLineSets = fc.array(fc.subarray(candidateLines), { maxLength: 12 });
     fc.assert(
-      fc.property(steps, wantedSets => {
+      fc.property(desiredLineSets, lineSets => {
         const rules = new RuleSet();
         let lines: readonly string[] = [];
-        for (const wanted of wantedSets) {
-          const applied = rules.apply(differenceOf(lines, wanted));
-          const whole = parseRules(wanted.join('\n'));
-          expect(applied.ok).toBe(whole.ok);
-          lines = applied.ok ? wanted : lines;
+        for (const desiredLines of lineSets) {
+          const applied = rules.apply(differenceOf(lines, desiredLines));
+          const parsed = parseRules(desiredLines.join('\n'));
+          expect(applied.ok).toBe(parsed.ok);
+          lines = applied.ok ? desiredLines : lines;
           expect([...rules.lines].sort()).toEqual([...lines].sort());
-          const expected = new RuleSet();
-          expected.apply({ added: lines, removed: [] }).unwrap();
-          const inForce = rules.configuration(VERSION);
-          const fresh = expected.configuration(VERSION);
+          const rebuiltRules = new RuleSet();
+          rebuiltRules.apply({ added: lines, removed: [] }).unwrap();
+          const incremental = rules.configuration(VERSION);
+          const rebuilt = rebuiltRules.configuration(VERSION);
           for (const kind of ['keys', 'programs', 'services', 'workspaces'] as const) {
-            expect([...inForce[kind].keys()].sort()).toEqual([...fresh[kind].keys()].sort());
+            expect([...incremental[kind].keys()].sort()).toEqual([...rebuilt[kind].keys()].sort());
           }
-          expect(inForce.routes.map(route => route.name)).toEqual(
-            fresh.routes.map(route => route.name),
+          expect(incremental.routes.map(route => route.name)).toEqual(
+            rebuilt.routes.map(route => route.name),
           );
         }
       }),
@@ -54,14 +56,14 @@
     );
   });
 
-  it('refuses lines that are not in force, or are already', () => {
+  it('refuses to remove an absent line or to add an existing one', () => {
     const rules = new RuleSet();
     rules.apply({ added: ['service s # q: r'], removed: [] }).unwrap();
     expect(rules.apply({ added: [], removed: ['service t # q: r'] }).err).toBe(true);
     expect(rules.apply({ added: ['service s # q: r'], removed: [] }).err).toBe(true);
   });
 
-  it('leaves configurations that were given out as they were', () => {
+  it('does not change configurations that it returned before', () => {
     const rules = new RuleSet();
     rules.apply({ added: ['service s # q: r'], removed: [] }).unwrap();
     const before = rules.configuration(VERSION);
@@ -72,7 +74,7 @@
 });
 
 describe('ruleLines', () => {
-  it('gives one canonical line for texts that mean the same', () => {
+  it('returns the same canonical line for equivalent texts', () => {
     const texts = [
       'workspace  a burst=1 rate=1.0 # b:  c',
       'workspace a rate=1 burst=1 weight=1 programs=10000 #b: c\r\n',
