--- a/packages/coordination/src/versions/change.ts
+++ b/packages/coordination/src/versions/change.ts
@@ -2,60 +2,60 @@
 
 import { Err, Ok } from '@zincring/core';
 
-/** Who asked for a change, why, and what identifies it. */
+/** Origin of a change: its identifier, requester, reason and time. */
 export interface ChangeOrigin {
-  /** Unique identifier of the change, chosen by who asks for it; asking again is harmless. */
+  /** Unique identifier, chosen by the requester; requesting the same change again is harmless. */
   readonly changeId: string;
-  /** Who asked for it. */
+  /** Identity of the requester. */
   readonly requester: string;
-  /** Why. */
+  /** Reason that the requester gives. */
   readonly reason: string;
-  /** Wall-clock time, in milliseconds since 1970. */
+  /** Time of the request on the wall clock, in milliseconds since 1970. */
   readonly at: number;
 }
 
-/** A change that has yet to be accepted. */
+/** Change that has not been accepted yet. */
 export interface ProposedChange extends ChangeOrigin {
-  /** Lines taken out. */
+  /** Lines to remove. */
   readonly removed: readonly string[];
-  /** Lines put in. */
+  /** Lines to add. */
   readonly added: readonly string[];
 }
 
-/** One accepted change of a versioned document, with its audit record. */
+/** Accepted change of a versioned document, with its audit record. */
 export interface Change extends ProposedChange {
   /** Version that the change made. */
   readonly version: number;
 }
 
-/** A whole version. */
+/** Complete content of one version. */
 export interface Snapshot {
   readonly version: number;
   readonly lines: readonly string[];
 }
 
-/** What a reader of a versioned document has. */
+/** State of a reader that requests an update. */
 export interface UpdateRequest {
-  /** Version that the reader has. */
+  /** Version that the reader holds. */
   readonly after: number;
-  /** Version up to which the reader has seen what there is; `after` where it is left out. */
+  /** Newest version that the reader has seen, even if it does not hold it; `after` by default. */
   readonly known?: number;
 }
 
-/** What brings a reader up to a newer version: perhaps a snapshot, then the changes after it. */
+/** Update of a reader to a newer version: a snapshot if needed, then the changes after it. */
 export interface Update {
-  /** Where to begin; without one the changes follow the version that the reader has. */
+  /** Snapshot to start from; without one, the changes follow the version that the reader holds. */
   readonly snapshot: Snapshot | undefined;
-  /** The newest version that the source of the update knows. */
+  /** Newest version that the source of the update knows. */
   readonly newest: number;
-  /** Oldest first, without a gap. */
+  /** Changes to apply, oldest first and without a gap. */
   readonly changes: readonly Change[];
 }
 
 /**
  * Applies changes to a set of lines.
  *
- * @returns the lines, or the version whose change does not fit
+ * @returns the resulting lines, or the version of the first change that removes an absent line
  * @example
  * applyChanges(new Set(['a']), [{ added: ['b'], removed: ['a'], … }]); // Set(['b'])
  */
@@ -65,8 +65,8 @@
 ): Result<ReadonlySet<string>, number> {
   const result = new Set(lines);
   for (const change of changes) {
-    const isKnown = change.removed.every(line => result.delete(line));
-    if (!isKnown) {
+    const hasAllLines = change.removed.every(line => result.delete(line));
+    if (!hasAllLines) {
       return Err(change.version);
     }
     change.added.forEach(line => result.add(line));
--- a/packages/coordination/src/versions/changeRows.ts
+++ b/packages/coordination/src/versions/changeRows.ts
@@ -2,16 +2,16 @@
 
 import type { Change, ProposedChange } from './change.js';
 
-/** The newest version, as its row stands. */
+/** Newest version, as its row was read. */
 export interface Head {
   readonly version: number;
-  /** Versions that are stored whole, oldest first. */
+  /** Versions that are stored as snapshots, oldest first. */
   readonly snapshots: readonly number[];
   /** Version of the row, for the next compare-and-set. */
   readonly rowVersion: number;
 }
 
-/** A change as its row holds it: whole, or with its lines in an object. */
+/** Change as its row stores it: complete (`whole`), or with its lines in an object (`split`). */
 export type StoredChange =
   | { readonly kind: 'whole'; readonly change: Change }
   | {
@@ -21,14 +21,14 @@
       readonly object: string;
     };
 
-/** The lines of a large change, as the object holds them. */
+/** Lines of a large change, as their object stores them. */
 export interface ChangeLines {
   readonly removed: readonly string[];
   readonly added: readonly string[];
 }
 
-/** Largest value of a change's row, in bytes; the table takes 64 KiB. */
-const LARGEST_ROW_BYTES = 32 * 1024;
+/** Maximum size of a change that is stored in its row; the table accepts 64 KiB. */
+const MAXIMUM_ROW_BYTES = 32 * 1024;
 const VERSION_DIGITS = 12;
 
 /** Names of the rows and objects of one versioned document. */
@@ -39,20 +39,20 @@
     return `${this.name}/head`;
   }
 
-  public get changes(): string {
+  public get changePrefix(): string {
     return `${this.name}/change/`;
   }
 
   public change(version: number): string {
-    return `${this.changes}${String(version).padStart(VERSION_DIGITS, '0')}`;
+    return `${this.changePrefix}${String(version).padStart(VERSION_DIGITS, '0')}`;
   }
 
-  /** The row that tells which version a change made. */
+  /** Returns the key of the row that records which version a change made. */
   public identifier(changeId: string): string {
     return `${this.name}/change-id/${changeId}`;
   }
 
-  /** The object that holds the lines of a large change, named by its content. */
+  /** Returns the name of the object for the lines of a large change, by the digest of its content. */
   public lines(digest: string): string {
     return `${this.name}/lines/${digest}`;
   }
@@ -62,7 +62,7 @@
   }
 }
 
-/** Reads the row of the head; an absent row is version 0. */
+/** Parses the row of the head; an absent row is version 0. */
 export function parseHead(row: Row | undefined): Head {
   if (row === undefined || row.version === 0) {
     return { rowVersion: 0, snapshots: [], version: 0 };
@@ -71,12 +71,12 @@
   return { rowVersion: row.version, snapshots: head.snapshots, version: head.version };
 }
 
-/** Writes the row of the head. */
+/** Encodes the value of the row of the head. */
 export function encodeHead(head: Omit<Head, 'rowVersion'>): string {
   return JSON.stringify({ snapshots: head.snapshots, version: head.version });
 }
 
 /** Whether a change is too large for a row of the table. */
 export function isLargeChange(change: ProposedChange): boolean {
-  return Buffer.byteLength(JSON.stringify(change)) > LARGEST_ROW_BYTES;
+  return Buffer.byteLength(JSON.stringify(change)) > MAXIMUM_ROW_BYTES;
 }
--- a/packages/coordination/src/versions/versionedChanges.ts
+++ b/packages/coordination/src/versions/versionedChanges.ts
@@ -9,49 +9,50 @@
 
 import { ChangeKeys, encodeHead, isLargeChange, parseHead } from './changeRows.js';
 
-/** How an attempt to change ended. */
+/** Outcome of an attempt to change a document. */
 export type ChangeOutcome =
   | {
       readonly status: 'accepted';
       readonly version: number;
-      /** Whether this change, by its identifier, had been accepted before. */
+      /** Whether a change with this identifier had already been accepted. */
       readonly isRepeated: boolean;
     }
   | {
       readonly status: 'conflict';
-      /** The changes that were accepted first, oldest first. */
+      /** Changes that were accepted before this one could be, oldest first. */
       readonly changes: readonly Change[];
     };
 
-/** Where a versioned document is kept. */
+/** Options of {@link VersionedChanges}. */
 export interface VersionedChangesOptions {
   readonly table: TableService;
   readonly objects: ObjectStore;
   readonly timers: TimerService;
-  /** Prefix of its rows and objects, such as `configuration`. */
+  /** Name of the document, which prefixes its rows and objects, such as `configuration`. */
   readonly name: string;
 }
 
-/** Which changes to read, for the audit. */
+/** Page of changes to read for an audit. */
 export interface HistoryRequest {
   /** Only changes after this version. */
   readonly after: number;
-  /** At most this many. */
+  /** Maximum number of changes. */
   readonly limit: number;
 }
 
 const CHANGES_PER_PAGE = 200;
-/** Changes between two versions that are stored whole. */
+/** Number of changes between two snapshots. */
 const CHANGES_PER_SNAPSHOT = 64;
-/** Versions stored whole that are kept. */
-const SNAPSHOTS_KEPT = 2;
+/** Number of snapshots that are retained. */
+const RETAINED_SNAPSHOTS = 2;
 const SETTLE_ATTEMPTS = 5;
 const SETTLE_PAUSE_MILLISECONDS = 200;
 
 /**
- * A document of lines that changes by accepted differences: one head row, and a row for every
- * change that is its audit record as well. Of two racing changes one is accepted, the other
- * conflicts. Whole versions are stored every so often, so that a new reader begins near the end.
+ * Document of lines that is modified by a sequence of accepted changes. One row holds the head, and
+ * every change has a row that is its audit record as well. Of two concurrent changes, one is
+ * accepted and the other conflicts. Snapshots are stored regularly, so that a new reader need not
+ * read every change.
  */
 export class VersionedChanges {
   private readonly keys: ChangeKeys;
@@ -60,7 +61,7 @@
     this.keys = new ChangeKeys(options.name);
   }
 
-  /** Reads the head. */
+  /** Reads the newest version. */
   public async readHead(): Promise<Result<Head, PlatformError>> {
     const read = await this.options.table.read([this.keys.head]);
     return read.map(rows => parseHead(rows[0]));
@@ -80,8 +81,10 @@
         break;
       }
     }
-    const isWhole = changes.every((change, index) => change.version === after + index + 1);
-    return isWhole ? Ok(changes) : Err(failure('unavailable', 'a change is missing'));
+    const isComplete = changes.every((change, index) => change.version === after + index + 1);
+    return isComplete
+      ? Ok(changes)
+      : Err(createError('unavailable', 'the sequence of changes has a gap'));
   }
 
   /** Reads one page of the changes after a version, oldest first. */
@@ -91,14 +94,14 @@
     const page = await this.options.table.scan({
       after: this.keys.change(request.after),
       limit: request.limit,
-      prefix: this.keys.changes,
+      prefix: this.keys.changePrefix,
     });
     if (page.err) {
       return page;
     }
     const changes: Change[] = [];
     for (const row of page.val.rows) {
-      const change = await this.readStored(JSON.parse(row.value) as StoredChange);
+      const change = await this.readStoredChange(JSON.parse(row.value) as StoredChange);
       if (change.err) {
         return change;
       }
@@ -108,8 +111,9 @@
   }
 
   /**
-   * Reads what brings a reader up to the newest version, unless it knows it already: the changes after it, or the newest
-   * stored version and the changes after that where this is less.
+   * Reads the update of a reader to the newest version: the changes after the version that it
+   * holds, or the newest snapshot and the changes after that if the reader is far behind. The update
+   * is empty if the reader already knows the newest version.
    */
   public async readUpdate({
     after,
@@ -122,25 +126,26 @@
     if (head.val.version <= known) {
       return Ok({ changes: [], newest: head.val.version, snapshot: undefined });
     }
-    const stored = head.val.snapshots.at(-1);
-    const isFar = stored !== undefined && stored - after > CHANGES_PER_SNAPSHOT;
-    const snapshot = isFar ? await this.readSnapshot(stored) : Ok(undefined);
+    const newestSnapshot = head.val.snapshots.at(-1);
+    const usesSnapshot =
+      newestSnapshot !== undefined && newestSnapshot - after > CHANGES_PER_SNAPSHOT;
+    const snapshot = usesSnapshot ? await this.readSnapshot(newestSnapshot) : Ok(undefined);
     if (snapshot.err) {
       return snapshot;
     }
-    const changes = await this.readChanges(isFar ? stored : after);
-    return changes.map(newer => ({
-      changes: newer,
-      newest: Math.max(head.val.version, newer.at(-1)?.version ?? 0),
+    const changes = await this.readChanges(usesSnapshot ? newestSnapshot : after);
+    return changes.map(newerChanges => ({
+      changes: newerChanges,
+      newest: Math.max(head.val.version, newerChanges.at(-1)?.version ?? 0),
       snapshot: snapshot.val,
     }));
   }
 
   /**
-   * Accepts a change of the version read, once, although answers may be lost and although it may
-   * be asked for again with the same identifier.
+   * Accepts a change of the version that was read. The change is applied once even if answers are
+   * lost or it is requested again with the same identifier.
    *
-   * @param current the lines of the version read, to be stored whole when it is time
+   * @param current lines of the version that was read, for the snapshot that may be due
    */
   public async accept(
     head: Head,
@@ -149,28 +154,28 @@
   ): Promise<Result<ChangeOutcome, PlatformError>> {
     const repeated = await this.findAccepted(proposed.changeId);
     if (repeated.err || repeated.val !== undefined) {
-      return repeated.map(version => accepted(version ?? 0, true));
+      return repeated.map(version => createAccepted(version ?? 0, true));
     }
-    const snapshots = await this.storeSnapshot(head, current);
+    const snapshots = await this.storeSnapshotIfDue(head, current);
     if (snapshots.err) {
       return snapshots;
     }
-    const kept = snapshots.val.slice(-SNAPSHOTS_KEPT);
-    const outcome = await this.commit(head, proposed, kept);
+    const retainedSnapshots = snapshots.val.slice(-RETAINED_SNAPSHOTS);
+    const outcome = await this.commit(head, proposed, retainedSnapshots);
     if (outcome.err) {
       return outcome;
     }
     if (outcome.val === 'conflict') {
-      return await this.explainConflict(head, proposed.changeId);
+      return await this.resolveConflict(head, proposed.changeId);
     }
-    for (const version of snapshots.val.slice(0, -SNAPSHOTS_KEPT)) {
-      // An object that stays behind is only waste.
+    for (const version of snapshots.val.slice(0, -RETAINED_SNAPSHOTS)) {
+      // A snapshot that fails to be deleted only wastes space.
       await this.options.objects.delete(this.keys.snapshot(version));
     }
-    return Ok(accepted(head.version + 1, false));
+    return Ok(createAccepted(head.version + 1, false));
   }
 
-  /** The version that a change made, by its identifier; `undefined` when it was not accepted. */
+  /** Finds the version that a change made, by its identifier; `undefined` if it was not accepted. */
   public async findAccepted(changeId: string): Promise<Result<number | undefined, PlatformError>> {
     const read = await this.options.table.read([this.keys.identifier(changeId)]);
     return read.map(([row]) =>
@@ -186,7 +191,7 @@
     snapshots: readonly number[],
   ): Promise<Result<'committed' | 'conflict', PlatformError>> {
     const version = head.version + 1;
-    const stored = await this.store({ ...proposed, version });
+    const stored = await this.storeChange({ ...proposed, version });
     if (stored.err) {
       return stored;
     }
@@ -206,45 +211,49 @@
           { key: identifierKey, value: JSON.stringify({ version }) },
         ],
       },
-      { ...this.settling, areRowsKept: true, proofKey: identifierKey },
+      { ...this.settleOptions, areRowsKept: true, proofKey: identifierKey },
     );
     return outcome.map(({ status }) => status);
   }
 
-  /** Puts the lines of a large change into an object, before a row refers to them. */
-  private async store(change: Change): Promise<Result<StoredChange, PlatformError>> {
+  /** Stores the lines of a large change in an object, before a row refers to them. */
+  private async storeChange(change: Change): Promise<Result<StoredChange, PlatformError>> {
     if (!isLargeChange(change)) {
       return Ok({ change, kind: 'whole' });
     }
     const { added, removed, ...rest } = change;
     const content: ChangeLines = { added, removed };
     const object = this.keys.lines(sha256Hex(JSON.stringify(content)));
-    const put = await this.put(object, content);
+    const put = await this.putObject(object, content);
     return put.map(() => ({ change: rest, kind: 'split', object }));
   }
 
-  private async readStored(stored: StoredChange): Promise<Result<Change, PlatformError>> {
+  private async readStoredChange(stored: StoredChange): Promise<Result<Change, PlatformError>> {
     if (stored.kind === 'whole') {
       return Ok(stored.change);
     }
-    const lines = await this.get<ChangeLines>(stored.object);
+    const lines = await this.getObject<ChangeLines>(stored.object);
     return lines.map(content => ({ ...stored.change, ...content }));
   }
 
-  private async explainConflict(
+  private async resolveConflict(
     head: Head,
     changeId: string,
   ): Promise<Result<ChangeOutcome, PlatformError>> {
     const repeated = await this.findAccepted(changeId);
     if (repeated.err || repeated.val !== undefined) {
-      return repeated.map(version => accepted(version ?? 0, true));
+      return repeated.map(version => createAccepted(version ?? 0, true));
     }
     const changes = await this.readChanges(head.version);
-    return changes.map(newer => ({ changes: newer, status: 'conflict' }));
+    return changes.map(newerChanges => ({ changes: newerChanges, status: 'conflict' }));
   }
 
-  /** Stores the version read as a whole when the last one stored is far behind. */
-  private async storeSnapshot(
+  /**
+   * Stores a snapshot of the version that was read if the last snapshot is far behind.
+   *
+   * @returns the versions of all snapshots
+   */
+  private async storeSnapshotIfDue(
     head: Head,
     lines: readonly string[],
   ): Promise<Result<readonly number[], PlatformError>> {
@@ -252,32 +261,32 @@
     if (version - (snapshots.at(-1) ?? 0) < CHANGES_PER_SNAPSHOT) {
       return Ok(snapshots);
     }
-    // Sorted, so that racing writers of one version store the same object.
+    // Sorted, so that concurrent writers of one version store the same object.
     const content: Snapshot = { lines: [...lines].sort(), version };
-    const put = await this.put(this.keys.snapshot(version), content);
+    const put = await this.putObject(this.keys.snapshot(version), content);
     return put.map(() => [...snapshots, version]);
   }
 
   private async readSnapshot(version: number): Promise<Result<Snapshot, PlatformError>> {
-    return await this.get<Snapshot>(this.keys.snapshot(version));
+    return await this.getObject<Snapshot>(this.keys.snapshot(version));
   }
 
-  private async get<Content>(object: string): Promise<Result<Content, PlatformError>> {
+  private async getObject<Content>(object: string): Promise<Result<Content, PlatformError>> {
     const read = await this.options.objects.get(object);
     return read.andThen(content =>
       content === undefined
-        ? Err(failure('unavailable', `the object ${object} is missing`))
+        ? Err(createError('unavailable', `the object ${object} is missing`))
         : Ok(JSON.parse(Buffer.from(content).toString('utf8')) as Content),
     );
   }
 
-  private async put(object: string, content: object): Promise<Result<void, PlatformError>> {
+  private async putObject(object: string, content: object): Promise<Result<void, PlatformError>> {
     const bytes = Buffer.from(JSON.stringify(content));
-    const outcome = await putSettled(this.options.objects, object, bytes, this.settling);
+    const outcome = await putSettled(this.options.objects, object, bytes, this.settleOptions);
     return outcome.map(() => undefined);
   }
 
-  private get settling(): {
+  private get settleOptions(): {
     readonly attempts: number;
     readonly pauseMilliseconds: number;
     readonly timers: TimerService;
@@ -290,10 +299,10 @@
   }
 }
 
-function accepted(version: number, isRepeated: boolean): ChangeOutcome {
+function createAccepted(version: number, isRepeated: boolean): ChangeOutcome {
   return { isRepeated, status: 'accepted', version };
 }
 
-function failure(kind: PlatformFailure, detail: string): PlatformError {
+function createError(kind: PlatformFailure, detail: string): PlatformError {
   return new PlatformError(kind, detail);
 }
