--- a/packages/coordination/src/index.ts
+++ b/packages/coordination/src/index.ts
@@ -51,7 +51,7 @@
 } from './versions/versionedChanges.js';
 export { VersionedChanges } from './versions/versionedChanges.js';
 export { EscrowedLimiter } from './limits/escrowedLimiter.js';
-export type { Admittance, Limiter, WorkspaceLimits } from './limits/limiter.js';
+export type { AdmissionDecision, Limiter, WorkspaceLimits } from './limits/limiter.js';
 export type { LimitSeatsOptions } from './limits/limitSeats.js';
 export { LimitSeats, seatRowKey } from './limits/limitSeats.js';
 export type {
@@ -63,6 +63,6 @@
   LoanTerms,
 } from './limits/loan.js';
 export { borrowerName, noLoan } from './limits/loan.js';
-export type { Stake } from './limits/workspaceEscrow.js';
+export type { TimedShare } from './limits/workspaceEscrow.js';
 export { WorkspaceEscrow } from './limits/workspaceEscrow.js';
-export type { LimiterParts } from './limits/workspaceLimiter.js';
+export type { LimiterDependencies } from './limits/workspaceLimiter.js';
--- a/packages/coordination/src/limits/escrowedLimiter.ts
+++ b/packages/coordination/src/limits/escrowedLimiter.ts
@@ -1,6 +1,6 @@
-import type { Admittance, Limiter, WorkspaceLimits } from './limiter.js';
+import type { AdmissionDecision, Limiter, WorkspaceLimits } from './limiter.js';
 import type { Loan, LoanRequest } from './loan.js';
-import type { LimiterParts } from './workspaceLimiter.js';
+import type { LimiterDependencies } from './workspaceLimiter.js';
 
 import { noLoan } from './loan.js';
 import { WorkspaceLimiter } from './workspaceLimiter.js';
@@ -27,7 +27,7 @@
   /** Limiters of removed workspaces; they are kept because their loans may still be in use. */
   private readonly retiredLimiters = new Map<string, RetiredLimiter>();
 
-  public constructor(private readonly dependencies: LimiterParts) {}
+  public constructor(private readonly dependencies: LimiterDependencies) {}
 
   public configure(limits: WorkspaceLimits): void {
     for (const [workspace, limiter] of this.limiters) {
@@ -49,7 +49,7 @@
     this.discardRetiredLimiters();
   }
 
-  public async admit(workspace: string, waitMilliseconds: number): Promise<Admittance> {
+  public async admit(workspace: string, waitMilliseconds: number): Promise<AdmissionDecision> {
     const limiter = this.limiters.get(workspace);
     return limiter === undefined
       ? { retryMilliseconds: UNKNOWN_WORKSPACE_RETRY_MILLISECONDS, status: 'refused' }
@@ -65,7 +65,7 @@
   }
 
   /** Returns everything borrowed, so that the lenders need not wait until the loans expire. */
-  public returnAll(): void {
+  public returnLoans(): void {
     for (const limiter of this.limiters.values()) {
       limiter.returnLoans();
     }
--- a/packages/coordination/src/limits/limitSeats.ts
+++ b/packages/coordination/src/limits/limitSeats.ts
@@ -5,7 +5,7 @@
 
 import type { SessionRow } from '../leases/leaseRows.js';
 import type { LeaseTerms } from '../leases/session.js';
-import type { Stake } from './workspaceEscrow.js';
+import type { TimedShare } from './workspaceEscrow.js';
 
 import { sessionRowKey } from '../leases/leaseRows.js';
 import { Session } from '../leases/session.js';
@@ -27,12 +27,12 @@
   readonly eligible: () => ReadonlySet<string>;
   readonly createIncarnation: () => IncarnationId;
   /** Interval of polling seats that others hold and of retrying a renewal, in milliseconds. */
-  readonly lookMilliseconds: number;
+  readonly pollMilliseconds: number;
   /**
    * Time from the acquisition of a seat until it counts, in milliseconds; at least the longest loan
    * that an earlier holder may have granted.
    */
-  readonly settleMilliseconds: number;
+  readonly activationDelayMilliseconds: number;
 }
 
 /** Row of a seat in the table. */
@@ -89,7 +89,7 @@
   }
 
   /** Shares of rate and burst that the held seats give, each with the span in which it is usable. */
-  public stakes(): readonly Stake[] {
+  public ownedShares(): readonly TimedShare[] {
     if (this.held.size === 0 || !this.session.isValid) {
       return [];
     }
@@ -106,7 +106,7 @@
   }
 
   /** Share that one seat gives; `undefined` if no valid session holds the seat. */
-  public stakeOf(seat: number): Stake | undefined {
+  public shareOfSeat(seat: number): TimedShare | undefined {
     const held = this.held.get(seat);
     if (held === undefined || !this.session.isValid) {
       return undefined;
@@ -149,7 +149,7 @@
     if (sentAt < this.renewDueAt) {
       return;
     }
-    this.renewDueAt = sentAt + this.options.lookMilliseconds;
+    this.renewDueAt = sentAt + this.options.pollMilliseconds;
     const renewal = await this.session.renew();
     if (renewal === 'lost') {
       this.options.logger.warn({ incarnation: this.session.incarnation }, 'limit seats lost');
@@ -226,7 +226,7 @@
     if (candidates.length === 0 || now < this.pollDueAt) {
       return;
     }
-    this.pollDueAt = now + this.options.lookMilliseconds;
+    this.pollDueAt = now + this.options.pollMilliseconds;
     const read = await this.options.table.read(candidates.map(seatRowKey));
     if (read.err) {
       return;
@@ -312,7 +312,8 @@
     for (const [index, each] of seats.entries()) {
       const rowVersion = outcome.val.rows[index]?.version ?? 0;
       // A seat that was never held has no outstanding loans to wait for.
-      const usableFrom = each.rowVersion === 0 ? now : now + this.options.settleMilliseconds;
+      const usableFrom =
+        each.rowVersion === 0 ? now : now + this.options.activationDelayMilliseconds;
       this.held.set(each.seat, { rowVersion, usableFrom });
     }
     this.options.logger.info({ seats: seats.length }, 'limit seats taken');
--- a/packages/coordination/src/limits/limiter.ts
+++ b/packages/coordination/src/limits/limiter.ts
@@ -4,7 +4,7 @@
 export type WorkspaceLimits = ReadonlyMap<string, BucketSize>;
 
 /** Outcome of a request for a token. */
-export type Admittance =
+export type AdmissionDecision =
   | { readonly status: 'granted' }
   | {
       readonly status: 'refused';
@@ -21,5 +21,5 @@
    *
    * @param waitMilliseconds maximum time that the request may wait for its token
    */
-  admit(workspace: string, waitMilliseconds: number): Promise<Admittance>;
+  admit(workspace: string, waitMilliseconds: number): Promise<AdmissionDecision>;
 }
--- a/packages/coordination/src/limits/loan.ts
+++ b/packages/coordination/src/limits/loan.ts
@@ -17,7 +17,7 @@
   /** Rate and burst in force at the borrower; a lender with other values lends nothing. */
   readonly size: BucketSize;
   /** Number of the loan to settle; 0 for none. */
-  readonly loan: number;
+  readonly loanId: number;
   /** Numbers of the loans of tokens from this lender that have been spent completely. */
   readonly spentLoans: readonly number[];
 }
@@ -25,7 +25,7 @@
 /** Answer to a loan request. A loan of no tokens and no share means that nothing was lent. */
 export interface Loan {
   /** Number of the loan at its lender; 0 for none. */
-  readonly loan: number;
+  readonly loanId: number;
   /** Number of tokens lent; may be fractional for a share. */
   readonly tokens: number;
   /** Fraction of the workspace's rate and burst, from 0 to 1. */
@@ -103,7 +103,7 @@
 export function noLoan(retryMilliseconds: number): Loan {
   return {
     isGathering: false,
-    loan: 0,
+    loanId: 0,
     retryMilliseconds,
     share: 0,
     tokens: 0,
--- a/packages/coordination/src/limits/waitQueue.ts
+++ b/packages/coordination/src/limits/waitQueue.ts
@@ -1,8 +1,8 @@
-import type { Admittance } from './limiter.js';
+import type { AdmissionDecision } from './limiter.js';
 
 interface WaitingRequest {
   readonly deadline: number;
-  readonly resolve: (decision: Admittance) => void;
+  readonly resolve: (decision: AdmissionDecision) => void;
 }
 
 /** Minimum time after which a refused request may be retried, in milliseconds. */
@@ -26,7 +26,7 @@
   }
 
   /** Adds a request and waits until it is granted or refused. */
-  public async enqueue(deadline: number): Promise<Admittance> {
+  public async enqueue(deadline: number): Promise<AdmissionDecision> {
     return await new Promise(resolve => {
       this.waiting.push({ deadline, resolve });
     });
--- a/packages/coordination/src/limits/workspaceEscrow.ts
+++ b/packages/coordination/src/limits/workspaceEscrow.ts
@@ -5,7 +5,7 @@
 import { shareCapacity, shareForTokens } from './shareCapacity.js';
 
 /** Share of rate and burst over a span of monotonic time. */
-export interface Stake {
+export interface TimedShare {
   /** Fraction of the workspace's rate and burst, from 0 to 1. */
   readonly share: number;
   /** Start of the span, in milliseconds. */
@@ -38,12 +38,12 @@
 }
 
 /** Share borrowed from another instance. */
-interface BorrowedShare extends Stake {
+interface BorrowedShare extends TimedShare {
   readonly loanId: number;
 }
 
 /** Share lent to another instance. */
-interface LentShare extends Stake {
+interface LentShare extends TimedShare {
   readonly borrower: string;
   /** Number of the latest loan; 0 for the remainder of an earlier one. */
   readonly loanId: number;
@@ -64,10 +64,10 @@
   /** Monotonic time of the start, in milliseconds; the escrow starts empty. */
   readonly now: number;
   /** Returns the shares that this instance owns by its seats. */
-  readonly ownStakes: () => readonly Stake[];
+  readonly ownShares: () => readonly TimedShare[];
   readonly terms: LoanTerms;
   /** Number of the first loan; differs between the processes of an instance. */
-  readonly firstLoan: number;
+  readonly firstLoanId: number;
 }
 
 /** Sums of shares below this are rounding errors and count as zero. */
@@ -91,13 +91,13 @@
   private lentShares: LentShare[] = [];
   private readonly borrowedShares = new Map<string, BorrowedShare>();
   /** Parts of earlier loans that their renewals no longer include, until the earlier loans end. */
-  private borrowedRemainders: Stake[] = [];
+  private borrowedRemainders: TimedShare[] = [];
   private readonly lentTokens = new Map<number, LentTokens>();
 
   public constructor(private readonly options: WorkspaceEscrowOptions) {
     this.size = options.size;
     this.updatedAt = options.now;
-    this.nextLoanId = options.firstLoan;
+    this.nextLoanId = options.firstLoanId;
   }
 
   /** Rate and burst of the workspace over the complete fleet. */
@@ -215,7 +215,7 @@
     }
     const isSameSize = isEqualSize(request.size, this.size);
     if (request.kind === 'tokens' && loan.tokens >= 1 && isSameSize) {
-      this.borrowedTokens.push({ lender, loanId: loan.loan, tokens: loan.tokens, until });
+      this.borrowedTokens.push({ lender, loanId: loan.loanId, tokens: loan.tokens, until });
     }
   }
 
@@ -230,7 +230,7 @@
     }
     this.borrowedShares.set(lender, {
       from: now,
-      loanId: loan.loan,
+      loanId: loan.loanId,
       share: loan.share,
       until: Math.max(until, earlierShare?.until ?? until),
     });
@@ -260,7 +260,7 @@
     const loanId = this.nextLoanId++;
     this.tokens -= tokens;
     this.lentTokens.set(loanId, { borrower: request.borrower, tokens, until });
-    return { ...noLoan(0), loan: loanId, tokens, validMilliseconds };
+    return { ...noLoan(0), loanId, tokens, validMilliseconds };
   }
 
   /**
@@ -300,15 +300,15 @@
   /** Ends a loan early; the unspent tokens returned with it can be granted again. */
   public settle(now: number, request: LoanRequest): void {
     this.advance(now);
-    if (request.loan <= 0) {
+    if (request.loanId <= 0) {
       return;
     }
-    const lent = this.lentTokens.get(request.loan);
-    const lentShare = this.lentShares.find(each => each.loanId === request.loan);
+    const lent = this.lentTokens.get(request.loanId);
+    const lentShare = this.lentShares.find(each => each.loanId === request.loanId);
     if ((lent ?? lentShare)?.borrower !== request.borrower) {
       return;
     }
-    this.lentTokens.delete(request.loan);
+    this.lentTokens.delete(request.loanId);
     this.lentShares = this.lentShares.filter(each => each !== lentShare);
     const maximumTokens = lent?.tokens ?? Number.POSITIVE_INFINITY;
     this.tokens += Math.max(0, Math.min(maximumTokens, request.tokens));
@@ -349,7 +349,7 @@
       shareBefore <= SHARE_EPSILON ? 0 : this.tokens * Math.min(1, addedShare / shareBefore);
     this.tokens -= tokens;
     this.clampTokens(now);
-    return { ...noLoan(0), loan: loanId, share: lendableShare, tokens, validMilliseconds };
+    return { ...noLoan(0), loanId, share: lendableShare, tokens, validMilliseconds };
   }
 
   /** Returns the share that this instance owns and has not lent. */
@@ -360,12 +360,12 @@
   }
 
   private ownShare(now: number): number {
-    return sumShares(this.options.ownStakes(), now);
+    return sumShares(this.options.ownShares(), now);
   }
 
   private ownRemainingMilliseconds(now: number): number {
     const endTimes = this.options
-      .ownStakes()
+      .ownShares()
       .filter(timedShare => isActive(timedShare, now))
       .map(timedShare => timedShare.until);
     // The lender counts a loan longer than its borrower does, and both must end within the lease.
@@ -383,10 +383,10 @@
 
   /** Returns the share in use now that lasts until a time, less everything lent. */
   private shareLastingUntil(now: number, until: number): number {
-    const selectLasting = (timedShares: Iterable<Stake>): Stake[] =>
+    const selectLasting = (timedShares: Iterable<TimedShare>): TimedShare[] =>
       [...timedShares].filter(timedShare => timedShare.until >= until);
     return (
-      sumShares(selectLasting(this.options.ownStakes()), now) +
+      sumShares(selectLasting(this.options.ownShares()), now) +
       sumShares(selectLasting(this.borrowedShares.values()), now) +
       sumShares(selectLasting(this.borrowedRemainders), now) -
       sumShares(this.lentShares, now)
@@ -427,7 +427,7 @@
         next = moment;
       }
     };
-    for (const timedShare of this.options.ownStakes()) {
+    for (const timedShare of this.options.ownShares()) {
       consider(timedShare.from);
       consider(timedShare.until);
     }
@@ -467,11 +467,11 @@
   return left.rate === right.rate && left.burst === right.burst;
 }
 
-function isActive(timedShare: Stake, now: number): boolean {
+function isActive(timedShare: TimedShare, now: number): boolean {
   return timedShare.from <= now && now < timedShare.until;
 }
 
-function sumShares(timedShares: Iterable<Stake>, now: number): number {
+function sumShares(timedShares: Iterable<TimedShare>, now: number): number {
   let sum = 0;
   for (const timedShare of timedShares) {
     if (isActive(timedShare, now)) {
--- a/packages/coordination/src/limits/workspaceLimiter.ts
+++ b/packages/coordination/src/limits/workspaceLimiter.ts
@@ -1,9 +1,9 @@
 import type { TimerService, TimerSubscription } from '@zincring/core';
 
-import type { Admittance } from './limiter.js';
+import type { AdmissionDecision } from './limiter.js';
 import type { Loan, LoanClient, LoanKind, LoanRequest, LoanTerms } from './loan.js';
 import type { BucketSize } from './tokenBucket.js';
-import type { ReturnedLoan, Stake } from './workspaceEscrow.js';
+import type { ReturnedLoan, TimedShare } from './workspaceEscrow.js';
 
 import { RequestRateMeter } from './requestRateMeter.js';
 import { noLoan } from './loan.js';
@@ -12,14 +12,14 @@
 import { WorkspaceEscrow } from './workspaceEscrow.js';
 
 /** Dependencies and settings common to the limiters of all workspaces at one instance. */
-export interface LimiterParts {
+export interface LimiterDependencies {
   readonly timers: TimerService;
   readonly loans: LoanClient;
   readonly terms: LoanTerms;
   /** Name of this process; see `borrowerName`. */
   readonly borrower: string;
   /** Returns the shares of every workspace that this instance owns by its seats. */
-  readonly ownStakes: () => readonly Stake[];
+  readonly ownShares: () => readonly TimedShare[];
   /** Returns the instance that gathers shares for a workspace; `undefined` if it is this one. */
   readonly homeOf: (workspace: string) => string | undefined;
   /** Returns the other instances that hold seats. */
@@ -27,7 +27,7 @@
   /** Maximum number of requests of one workspace that wait at this instance. */
   readonly maximumWaiting: number;
   /** Number of the first loan; differs between the processes of an instance. */
-  readonly firstLoan: number;
+  readonly firstLoanId: number;
 }
 
 /** Rate that a lender retains for itself, as a multiple of its own request rate. */
@@ -94,7 +94,7 @@
   public constructor(
     private readonly workspace: string,
     size: BucketSize,
-    private readonly dependencies: LimiterParts,
+    private readonly dependencies: LimiterDependencies,
   ) {
     this.escrow = new WorkspaceEscrow({ ...dependencies, now: dependencies.timers.now(), size });
   }
@@ -106,7 +106,7 @@
   }
 
   /** Acquires a token; waits for it if it can be expected in time. */
-  public async admit(waitMilliseconds: number): Promise<Admittance> {
+  public async admit(waitMilliseconds: number): Promise<AdmissionDecision> {
     const now = this.now;
     this.demand.record(now);
     this.lastRequestAt = now;
@@ -406,7 +406,7 @@
     return {
       borrower: this.dependencies.borrower,
       kind,
-      loan,
+      loanId: loan,
       size: this.escrow.limits,
       spentLoans: [],
       tokens,
--- a/packages/coordination/tests/limits/workspaceEscrow.test.ts
+++ b/packages/coordination/tests/limits/workspaceEscrow.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 
-import type { LoanKind, LoanRequest, Stake } from '@zincring/coordination';
+import type { LoanKind, LoanRequest, TimedShare } from '@zincring/coordination';
 
 import { WorkspaceEscrow } from '@zincring/coordination';
 
@@ -8,18 +8,18 @@
 const size = { burst: 10, rate: 10 };
 const alwaysValid = { from: 0, until: 1e9 };
 
-function createEscrow(ownShares: readonly Stake[], limits = size): WorkspaceEscrow {
+function createEscrow(ownShares: readonly TimedShare[], limits = size): WorkspaceEscrow {
   return new WorkspaceEscrow({
-    firstLoan: 1,
+    firstLoanId: 1,
     now: 0,
-    ownStakes: () => ownShares,
+    ownShares: () => ownShares,
     size: limits,
     terms,
   });
 }
 
 function createRequest(kind: LoanKind, tokens = 0, loan = 0): LoanRequest {
-  return { borrower: 'b.1', kind, loan, size, spentLoans: [], tokens, workspace: 'w' };
+  return { borrower: 'b.1', kind, loanId: loan, size, spentLoans: [], tokens, workspace: 'w' };
 }
 
 describe('WorkspaceEscrow', () => {
@@ -62,7 +62,7 @@
 
   it('releases the reserved capacity only once when a loan is settled twice', () => {
     const escrow = createEscrow([{ ...alwaysValid, share: 1 }]);
-    const { loan } = escrow.lendTokens(2_000, createRequest('tokens', 4));
+    const { loanId: loan } = escrow.lendTokens(2_000, createRequest('tokens', 4));
     escrow.settle(2_000, createRequest('settle', 3, loan));
     escrow.settle(2_000, createRequest('settle', 3, loan));
     expect(escrow.available(2_000)).toBe(9);
--- a/packages/instance/src/limits/fleetAdmission.ts
+++ b/packages/instance/src/limits/fleetAdmission.ts
@@ -71,9 +71,9 @@
     this.seats = new LimitSeats({
       ...options,
       eligible: () => options.membership.eligible(),
-      lookMilliseconds: LOOK_MILLISECONDS,
+      pollMilliseconds: LOOK_MILLISECONDS,
       seatCount,
-      settleMilliseconds: loan.shareMilliseconds * SETTLE_FACTOR,
+      activationDelayMilliseconds: loan.shareMilliseconds * SETTLE_FACTOR,
       terms: seatLease,
     });
     this.limiter = this.createLimiter();
@@ -95,7 +95,7 @@
   /** Gives seats and loans up; requests are still admitted by tokens of other instances. */
   public async release(): Promise<void> {
     this.ticks?.stop();
-    this.limiter.returnAll();
+    this.limiter.returnLoans();
     await this.seats.stop();
   }
 
@@ -134,7 +134,7 @@
     } = this.options;
     return new EscrowedLimiter({
       borrower: borrowerName({ address, incarnation: createIncarnation(), instance }),
-      firstLoan,
+      firstLoanId: firstLoan,
       homeOf: workspace => {
         const shard = shardOf(workspace, settings.seatCount);
         const home = preferredHolder(shard, membership.eligible());
@@ -148,7 +148,7 @@
         timeoutMilliseconds: BORROW_TIMEOUT_MILLISECONDS,
       }),
       maximumWaiting: settings.maximumWaiting,
-      ownStakes: () => this.seats.stakes(),
+      ownShares: () => this.seats.ownedShares(),
       terms: settings.loan,
       timers,
     });
--- a/packages/instance/src/limits/loanConversions.ts
+++ b/packages/instance/src/limits/loanConversions.ts
@@ -30,7 +30,7 @@
     borrower: request.borrower,
     burst: request.size.burst,
     kind: kindToMessage[request.kind],
-    loan: BigInt(request.loan),
+    loan: BigInt(request.loanId),
     rate: request.size.rate,
     spentLoans: request.spentLoans.map(BigInt),
     tokens: request.tokens,
@@ -43,7 +43,7 @@
   return {
     borrower: message.borrower,
     kind: kindFromMessage[message.kind],
-    loan: Number(message.loan),
+    loanId: Number(message.loan),
     size: { burst: message.burst, rate: message.rate },
     spentLoans: message.spentLoans.map(Number),
     tokens: message.tokens,
@@ -55,7 +55,7 @@
 export function loanToMessage(loan: Loan): MessageInitShape<typeof BorrowResponseSchema> {
   return {
     gathering: loan.isGathering,
-    loan: BigInt(loan.loan),
+    loan: BigInt(loan.loanId),
     retryMilliseconds: loan.retryMilliseconds,
     share: loan.share,
     tokens: loan.tokens,
@@ -67,7 +67,7 @@
 export function loanFromMessage(message: BorrowResponse): Loan {
   return {
     isGathering: message.gathering,
-    loan: Number(message.loan),
+    loanId: Number(message.loan),
     retryMilliseconds: message.retryMilliseconds,
     share: message.share,
     tokens: message.tokens,
--- a/packages/instance/tests/limits/loanConversions.test.ts
+++ b/packages/instance/tests/limits/loanConversions.test.ts
@@ -18,7 +18,7 @@
     const request: LoanRequest = {
       borrower: 'entry-1.abc',
       kind,
-      loan: 2 ** 47 + 3,
+      loanId: 2 ** 47 + 3,
       size: { burst: 2.5, rate: 0.5 },
       spentLoans: [1, 2 ** 47],
       tokens: 1.25,
@@ -31,7 +31,7 @@
   it('keep a loan, its time not rounded up', () => {
     const loan: Loan = {
       isGathering: true,
-      loan: 2 ** 47,
+      loanId: 2 ** 47,
       retryMilliseconds: 12.5,
       share: 5 / 64,
       tokens: 0.75,
--- a/packages/stand-ins/src/experiments/limits/mechanisms.ts
+++ b/packages/stand-ins/src/experiments/limits/mechanisms.ts
@@ -1,6 +1,6 @@
 import type {
   BucketSize,
-  Admittance,
+  AdmissionDecision,
   Limiter,
   Loan,
   LoanClient,
@@ -99,9 +99,9 @@
     ...context,
     createIncarnation: () => `${context.incarnation}.${sessions++}` as IncarnationId,
     logger: silentLogger,
-    lookMilliseconds: LOOK_MILLISECONDS,
+    pollMilliseconds: LOOK_MILLISECONDS,
     seatCount,
-    settleMilliseconds: loanTerms.shareMilliseconds * 1.02,
+    activationDelayMilliseconds: loanTerms.shareMilliseconds * 1.02,
     terms,
   });
 }
@@ -115,7 +115,7 @@
     this.seats = createSeats(context, SEAT_COUNT, terms);
     this.limiter = new EscrowedLimiter({
       borrower: borrowerName(context),
-      firstLoan: context.generation * LOANS_PER_PROCESS + 1,
+      firstLoanId: context.generation * LOANS_PER_PROCESS + 1,
       homeOf: workspace => {
         const shard = shardOf(workspace, SEAT_COUNT);
         const home = preferredHolder(shard, context.eligible());
@@ -124,7 +124,7 @@
       lenders: () => [...context.eligible()].filter(each => each !== context.instance),
       loans: context.loans,
       maximumWaiting: MAXIMUM_WAITING,
-      ownStakes: () => this.seats.stakes(),
+      ownShares: () => this.seats.ownedShares(),
       terms: loanTerms,
       timers: context.timers,
     });
@@ -134,7 +134,7 @@
     this.limiter.configure(limits);
   }
 
-  public async admit(workspace: string, waitMilliseconds: number): Promise<Admittance> {
+  public async admit(workspace: string, waitMilliseconds: number): Promise<AdmissionDecision> {
     return await this.limiter.admit(workspace, waitMilliseconds);
   }
 
@@ -162,7 +162,7 @@
     this.limiters = Array.from({ length: HOME_COUNT }, (_, seat) => {
       return new EscrowedLimiter({
         borrower: borrowerName(context),
-        firstLoan: context.generation * LOANS_PER_PROCESS + 1,
+        firstLoanId: context.generation * LOANS_PER_PROCESS + 1,
         homeOf: () => {
           const home = preferredHolder(seat as ShardId, context.eligible());
           return home === context.instance ? undefined : home;
@@ -170,8 +170,8 @@
         lenders: () => [],
         loans: context.loans,
         maximumWaiting: MAXIMUM_WAITING,
-        ownStakes: () => {
-          const stake = this.seats.stakeOf(seat);
+        ownShares: () => {
+          const stake = this.seats.shareOfSeat(seat);
           return stake === undefined ? [] : [{ ...stake, share: 1 }];
         },
         terms: loanTerms,
@@ -186,7 +186,7 @@
     }
   }
 
-  public async admit(workspace: string, waitMilliseconds: number): Promise<Admittance> {
+  public async admit(workspace: string, waitMilliseconds: number): Promise<AdmissionDecision> {
     const limiter = this.limiters[seatOf(workspace)];
     return limiter === undefined
       ? { retryMilliseconds: 1_000, status: 'refused' }
@@ -229,7 +229,7 @@
     this.limits = limits;
   }
 
-  public async admit(workspace: string, waitMilliseconds: number): Promise<Admittance> {
+  public async admit(workspace: string, waitMilliseconds: number): Promise<AdmissionDecision> {
     const limit = this.limits.get(workspace);
     if (limit === undefined) {
       return { retryMilliseconds: 1_000, status: 'refused' };
