--- a/packages/platform/src/directory/httpInstanceDirectory.ts
+++ b/packages/platform/src/directory/httpInstanceDirectory.ts
@@ -2,11 +2,11 @@
 
 import { z } from 'zod';
 
-import type { HttpExchange } from '../http/httpExchange.js';
+import type { HttpExchange } from '../http/httpClient.js';
 import type { PlatformError } from '../platformError.js';
 import type { DirectoryEntry, InstanceDirectory } from './instanceDirectory.js';
 
-import { parseAnswer } from '../http/parseAnswer.js';
+import { parseResponse } from '../http/parseResponse.js';
 
 const entrySchema = z
   .object({
@@ -27,12 +27,12 @@
   .object({ instances: z.array(entrySchema) })
   .transform((list): readonly DirectoryEntry[] => list.instances);
 
-/** The list of instances over the plain HTTP protocol of the stand-in. */
+/** Instance directory that is accessed over the plain HTTP protocol of the stand-in. */
 export class HttpInstanceDirectory implements InstanceDirectory {
-  public constructor(private readonly exchange: HttpExchange) {}
+  public constructor(private readonly httpClient: HttpExchange) {}
 
   public async list(): Promise<Result<readonly DirectoryEntry[], PlatformError>> {
-    const sent = await this.exchange.send({ isRead: true, method: 'GET', path: '/instances' });
-    return sent.andThen(response => parseAnswer(listSchema, response, 'unavailable'));
+    const result = await this.httpClient.send({ isRead: true, method: 'GET', path: '/instances' });
+    return result.andThen(response => parseResponse(listSchema, response, 'unavailable'));
   }
 }
--- a/packages/platform/src/http/adaptiveTimeout.ts
+++ b/packages/platform/src/http/adaptiveTimeout.ts
@@ -4,40 +4,45 @@
   readonly longestMilliseconds: number;
 }
 
-/** Answers that take this many times the usual are given up on. */
-const PATIENCE = 4;
-/** Weight of the last answer in what counts as usual. */
-const LAST_ANSWER_WEIGHT = 0.3;
+/** Timeout as a multiple of the average response time. */
+const TIMEOUT_MULTIPLE = 4;
+/** Weight of the latest response in the moving average of the response times. */
+const LATEST_RESPONSE_WEIGHT = 0.3;
 
 /**
- * How long to wait for an answer: some times what answers took of late, and twice as long after
- * each wait in vain, so that neither a lost answer nor a slow service stops the work.
+ * Timeout for the next response: a multiple of the recent average response time. It doubles
+ * after each timeout until a response arrives, within the bounds of the options. Lost responses are
+ * thus detected early, and a service that has become slow still gets enough time to respond.
  *
  * @example
  * const timeout = new AdaptiveTimeout({ longestMilliseconds: 1_500, shortestMilliseconds: 250 });
  */
 export class AdaptiveTimeout {
-  private usual = 0;
-  private floor: number;
+  private averageMilliseconds = 0;
+  private lowerBoundMilliseconds: number;
 
   public constructor(private readonly options: AdaptiveTimeoutOptions) {
-    this.floor = options.shortestMilliseconds;
+    this.lowerBoundMilliseconds = options.shortestMilliseconds;
   }
 
-  /** The wait for the next answer, in milliseconds. */
+  /** Timeout for the next response, in milliseconds. */
   public get milliseconds(): number {
-    const wait = Math.max(this.floor, PATIENCE * this.usual);
-    return Math.round(Math.min(this.options.longestMilliseconds, wait));
+    const timeoutMilliseconds = Math.max(
+      this.lowerBoundMilliseconds,
+      TIMEOUT_MULTIPLE * this.averageMilliseconds,
+    );
+    return Math.round(Math.min(this.options.longestMilliseconds, timeoutMilliseconds));
   }
 
-  /** Takes in an answer. */
-  public noteAnswer(milliseconds: number): void {
-    this.usual += (milliseconds - this.usual) * LAST_ANSWER_WEIGHT;
-    this.floor = this.options.shortestMilliseconds;
+  /** Records the time that a response took. */
+  public noteAnswer(responseMilliseconds: number): void {
+    this.averageMilliseconds +=
+      (responseMilliseconds - this.averageMilliseconds) * LATEST_RESPONSE_WEIGHT;
+    this.lowerBoundMilliseconds = this.options.shortestMilliseconds;
   }
 
-  /** Takes in a wait in vain. */
+  /** Records that no response arrived within the timeout. */
   public noteTimeout(): void {
-    this.floor = Math.min(this.options.longestMilliseconds, this.milliseconds * 2);
+    this.lowerBoundMilliseconds = Math.min(this.options.longestMilliseconds, this.milliseconds * 2);
   }
 }
--- a/packages/platform/src/http/httpExchange.ts
+++ b/packages/platform/src/http/httpClient.ts
@@ -6,85 +6,88 @@
 
 import { PlatformError } from '../platformError.js';
 
-/** Where the platform answers and how long to wait for it. */
+/** Address of the platform and timeout of requests to it. */
 export interface PlatformEndpointOptions {
-  /** IP number and port, such as `127.0.0.1:4100`. */
+  /** IP address and port, such as `127.0.0.1:4100`. */
   readonly address: string;
-  /** Longest wait for a whole answer, in milliseconds. */
+  /** Timeout for a complete response, in milliseconds. */
   readonly timeoutMilliseconds: number;
 }
 
-/** One request to the platform. */
+/** HTTP request to the platform. */
 export interface HttpExchangeRequest {
   readonly method: 'DELETE' | 'GET' | 'POST' | 'PUT';
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: Uint8Array | string;
-  /** Whether repeating the request is harmless; then every failure counts as `unavailable`. */
+  /** Whether the request can safely be repeated; if so, every failure counts as `unavailable`. */
   readonly isRead: boolean;
-  /** Longest wait for this answer, in milliseconds; the endpoint's own where it is left out. */
+  /** Timeout for this response, in milliseconds; defaults to the timeout of the endpoint. */
   readonly timeoutMilliseconds?: number;
 }
 
-/** The whole answer. */
+/** Complete HTTP response of the platform. */
 export interface HttpExchangeResponse {
   readonly status: number;
   readonly body: Buffer;
 }
 
-/** Largest answer accepted, in bytes. */
-const MAXIMUM_ANSWER_BYTES = 64 * 1024 * 1024;
-/** Status by which the platform says that it did nothing. */
+/** Maximum accepted size of a response body, in bytes. */
+const MAXIMUM_RESPONSE_BYTES = 64 * 1024 * 1024;
+/** Status of a request that the platform did not execute. */
 const STATUS_UNAVAILABLE = 503;
-/** Status by which the platform refuses a call beyond its rate. */
+/** Status of a request that the platform rejected because of its rate limit. */
 const STATUS_TOO_MANY_REQUESTS = 429;
 
-/** One HTTP exchange at a time per connection, with the failures sorted by what may have happened. */
+/**
+ * Sends HTTP/1.1 requests to the platform over a pool of connections and classifies failures by
+ * whether the request may have taken effect.
+ */
 export class HttpExchange {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 32 });
 
   public constructor(private readonly options: PlatformEndpointOptions) {}
 
-  /** Sends a request and reads the whole answer. */
+  /** Sends a request and reads the complete response. */
   public async send(
-    exchange: HttpExchangeRequest,
+    platformRequest: HttpExchangeRequest,
   ): Promise<Result<HttpExchangeResponse, PlatformError>> {
     try {
-      const response = await this.exchange(exchange);
+      const response = await this.sendOnce(platformRequest);
       if (response.status === STATUS_UNAVAILABLE || response.status === STATUS_TOO_MANY_REQUESTS) {
         return Err(new PlatformError('unavailable', 'the platform refused the request'));
       }
       return Ok(response);
     } catch (failure) {
-      // Idle connections may have gone silent together with the one that failed.
-      this.dropIdle();
-      return Err(classifyFailure(failure, exchange.isRead));
+      // The idle connections may have been lost without notice, like the one that failed.
+      this.destroyIdleSockets();
+      return Err(classifyFailure(failure, platformRequest.isRead));
     }
   }
 
-  /** Closes idle connections. */
+  /** Closes all connections. */
   public close(): void {
     this.agent.destroy();
   }
 
-  private dropIdle(): void {
+  private destroyIdleSockets(): void {
     for (const sockets of Object.values(this.agent.freeSockets)) {
       sockets?.forEach(socket => socket.destroy());
     }
   }
 
-  private async exchange(exchange: HttpExchangeRequest): Promise<HttpExchangeResponse> {
+  private async sendOnce(platformRequest: HttpExchangeRequest): Promise<HttpExchangeResponse> {
     const [host, port] = this.options.address.split(':');
     return await new Promise((resolve, reject) => {
       const outgoing = request({
         agent: this.agent,
-        headers: { ...exchange.headers },
+        headers: { ...platformRequest.headers },
         host,
-        method: exchange.method,
-        path: exchange.path,
+        method: platformRequest.method,
+        path: platformRequest.path,
         port,
         signal: AbortSignal.timeout(
-          exchange.timeoutMilliseconds ?? this.options.timeoutMilliseconds,
+          platformRequest.timeoutMilliseconds ?? this.options.timeoutMilliseconds,
         ),
       });
       outgoing.on('error', reject);
@@ -93,18 +96,18 @@
           resolve({ status: response.statusCode ?? 0, body });
         }, reject);
       });
-      outgoing.end(exchange.body);
+      outgoing.end(platformRequest.body);
     });
   }
 }
 
 async function readBody(response: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = [];
-  let size = 0;
+  let receivedBytes = 0;
   for await (const chunk of response as AsyncIterable<Buffer>) {
-    size += chunk.length;
-    if (size > MAXIMUM_ANSWER_BYTES) {
-      throw new Error('the answer of the platform is too large');
+    receivedBytes += chunk.length;
+    if (receivedBytes > MAXIMUM_RESPONSE_BYTES) {
+      throw new Error('the response of the platform is too large');
     }
     chunks.push(chunk);
   }
@@ -114,7 +117,7 @@
 function classifyFailure(failure: unknown, isRead: boolean): PlatformError {
   const code = (failure as { readonly code?: unknown } | null)?.code;
   const detail = failure instanceof Error ? failure.message : String(failure);
-  // Only a refused connection proves that the platform never saw the request.
-  const isHarmless = isRead || code === 'ECONNREFUSED';
-  return new PlatformError(isHarmless ? 'unavailable' : 'outcome-unknown', detail);
+  // Only a refused connection guarantees that the platform never received the request.
+  const hasCertainlyNoEffect = isRead || code === 'ECONNREFUSED';
+  return new PlatformError(hasCertainlyNoEffect ? 'unavailable' : 'outcome-unknown', detail);
 }
--- a/packages/platform/src/http/parseAnswer.ts
+++ b/packages/platform/src/http/parseResponse.ts
@@ -4,17 +4,19 @@
 import { Err, Ok } from '@zincring/core';
 
 import type { PlatformFailure } from '../platformError.js';
-import type { HttpExchangeResponse } from './httpExchange.js';
+import type { HttpExchangeResponse } from './httpClient.js';
 
 import { PlatformError } from '../platformError.js';
 
 /**
- * Checks a JSON answer of the platform against its schema.
+ * Parses a JSON response of the platform and validates it against a schema.
+ *
+ * @returns the parsed value, or an error of the given kind
  *
  * @example
- * const page = parseAnswer(scanPageSchema, response, 'unavailable');
+ * const page = parseResponse(scanPageSchema, response, 'unavailable');
  */
-export function parseAnswer<Value>(
+export function parseResponse<Value>(
   schema: z.ZodType<Value>,
   response: HttpExchangeResponse,
   failure: PlatformFailure,
@@ -26,11 +28,11 @@
   try {
     json = JSON.parse(response.body.toString('utf8'));
   } catch {
-    return Err(new PlatformError(failure, 'the answer is not JSON'));
+    return Err(new PlatformError(failure, 'the response is not JSON'));
   }
   const parsed = schema.safeParse(json);
   if (!parsed.success) {
-    return Err(new PlatformError(failure, `unexpected answer: ${parsed.error.message}`));
+    return Err(new PlatformError(failure, `unexpected response: ${parsed.error.message}`));
   }
   return Ok(parsed.data);
 }
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -47,7 +47,7 @@
   HttpExchangeRequest,
   HttpExchangeResponse,
   PlatformEndpointOptions,
-} from './http/httpExchange.js';
-export { HttpExchange } from './http/httpExchange.js';
+} from './http/httpClient.js';
+export { HttpExchange } from './http/httpClient.js';
 export type { Platform } from './platform.js';
 export { connectPlatform } from './platform.js';
--- a/packages/platform/src/objects/objectStore.ts
+++ b/packages/platform/src/objects/objectStore.ts
@@ -2,17 +2,17 @@
 
 import type { PlatformError } from '../platformError.js';
 
-/** How a conditional put ended. */
+/** Outcome of a conditional put. */
 export type PutOutcome = 'exists' | 'stored';
 
-/** A page of object names, in order. */
+/** Page of object names in ascending order. */
 export interface ObjectPage {
   readonly names: readonly string[];
-  /** Give it as `after` to read on; `undefined` when there is no more. */
+  /** Value of `after` for the next page; `undefined` on the last page. */
   readonly next: string | undefined;
 }
 
-/** Which objects to list. */
+/** Request for a page of object names. */
 export interface ListRequest {
   readonly prefix: string;
   /** Only names greater than this one. */
@@ -20,19 +20,19 @@
   readonly limit: number;
 }
 
-/** A part of an object. */
+/** Range of bytes of an object. */
 export interface ByteRange {
-  /** First byte. */
+  /** Offset of the first byte. */
   readonly start: number;
-  /** First byte no longer wanted. */
+  /** Offset after the last byte. */
   readonly end: number;
 }
 
-/** The platform's object store: conditional puts, ranged gets, ordered lists, with outages. */
+/** Object store of the platform: conditional puts, range reads and ordered lists. Outages occur. */
 export interface ObjectStore {
-  /** Stores an object unless one of that name exists. */
+  /** Stores an object unless one with this name exists. */
   putIfAbsent(name: string, content: Uint8Array): Promise<Result<PutOutcome, PlatformError>>;
-  /** Reads an object or a part of it; `undefined` when there is none. */
+  /** Reads an object or a range of it; `undefined` if the object does not exist. */
   get(name: string, range?: ByteRange): Promise<Result<Uint8Array | undefined, PlatformError>>;
   /** Lists names that begin with a prefix. */
   list(request: ListRequest): Promise<Result<ObjectPage, PlatformError>>;
--- a/packages/platform/src/objects/putSettled.ts
+++ b/packages/platform/src/objects/putSettled.ts
@@ -6,17 +6,18 @@
 
 import { PlatformError } from '../platformError.js';
 
-/** How long to keep asking. */
+/** Options of {@link putSettled}. */
 export interface PutSettledOptions {
   readonly timers: TimerService;
+  /** Maximum number of attempts. */
   readonly attempts: number;
   /** Pause between attempts, in milliseconds. */
   readonly pauseMilliseconds: number;
 }
 
 /**
- * Stores an object once, although answers may be lost: an object that exists with the same
- * content after an unknown outcome is one's own.
+ * Stores an object once even if responses are lost. When an earlier attempt had an unknown outcome
+ * and the object exists with the same content, that attempt counts as successful.
  *
  * @example
  * const outcome = await putSettled(store, 'log/a/000001', bytes, { timers, … });
@@ -42,10 +43,10 @@
     }
     const stored = await store.get(name);
     if (stored.ok) {
-      const isOwn = stored.val !== undefined && Buffer.from(stored.val).equals(content);
-      return Ok(isOwn ? 'stored' : 'exists');
+      const isOwnContent = stored.val !== undefined && Buffer.from(stored.val).equals(content);
+      return Ok(isOwnContent ? 'stored' : 'exists');
     }
   }
   const failure = mayHaveApplied ? 'outcome-unknown' : 'unavailable';
-  return Err(new PlatformError(failure, `no answer in ${options.attempts} attempts`));
+  return Err(new PlatformError(failure, `no known outcome after ${options.attempts} attempts`));
 }
--- a/packages/platform/src/platformError.ts
+++ b/packages/platform/src/platformError.ts
@@ -1,11 +1,11 @@
 /**
- * How an operation on the platform failed: `unavailable` means that it certainly did not take
- * effect, `outcome-unknown` that it may have.
+ * Kind of failure of a platform operation: `unavailable` means that the operation certainly did not
+ * take effect, `outcome-unknown` that it may have taken effect.
  */
 export type PlatformFailure = 'outcome-unknown' | 'unavailable';
 
 /**
- * A failed operation on the platform. Conflicts are no failures: they are outcomes.
+ * Failure of a platform operation. A conflict is not a failure but an outcome of the operation.
  *
  * @example
  * if (error.failure === 'outcome-unknown') { … read back … }
--- a/packages/platform/src/table/httpTableService.ts
+++ b/packages/platform/src/table/httpTableService.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { HttpExchange } from '../http/httpExchange.js';
+import type { HttpExchange } from '../http/httpClient.js';
 import type { PlatformError } from '../platformError.js';
 import type {
   Row,
@@ -13,7 +13,7 @@
   TransactionOutcome,
 } from './tableService.js';
 
-import { parseAnswer } from '../http/parseAnswer.js';
+import { parseResponse } from '../http/parseResponse.js';
 
 const rowSchema = z.object({ key: z.string(), value: z.string(), version: z.number() });
 const rowsSchema = z.object({ rows: z.array(rowSchema) });
@@ -25,27 +25,27 @@
   status: z.enum(['committed', 'conflict']),
 });
 
-/** The table service over the plain HTTP protocol of the stand-in. */
+/** Table service that is accessed over the plain HTTP protocol of the stand-in. */
 export class HttpTableService implements TableService {
-  public constructor(private readonly exchange: HttpExchange) {}
+  public constructor(private readonly httpClient: HttpExchange) {}
 
   public async read(keys: readonly string[]): Promise<Result<readonly Row[], PlatformError>> {
-    const response = await this.post('/table/read', { keys }, true);
-    return response.andThen(answer =>
-      parseAnswer(rowsSchema, answer, 'unavailable').map(body => body.rows),
+    const result = await this.post('/table/read', { keys }, true);
+    return result.andThen(response =>
+      parseResponse(rowsSchema, response, 'unavailable').map(body => body.rows),
     );
   }
 
-  public async scan(scan: ScanRequest): Promise<Result<ScanPage, PlatformError>> {
-    const response = await this.post('/table/scan', scan, true);
-    return response.andThen(answer => parseAnswer(pageSchema, answer, 'unavailable'));
+  public async scan(request: ScanRequest): Promise<Result<ScanPage, PlatformError>> {
+    const result = await this.post('/table/scan', request, true);
+    return result.andThen(response => parseResponse(pageSchema, response, 'unavailable'));
   }
 
   public async transact(
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>> {
-    const response = await this.post('/table/transact', transaction, false);
-    return response.andThen(answer => parseAnswer(outcomeSchema, answer, 'outcome-unknown'));
+    const result = await this.post('/table/transact', transaction, false);
+    return result.andThen(response => parseResponse(outcomeSchema, response, 'outcome-unknown'));
   }
 
   private async post(
@@ -53,7 +53,7 @@
     body: object,
     isRead: boolean,
   ): ReturnType<HttpExchange['send']> {
-    return await this.exchange.send({
+    return await this.httpClient.send({
       body: JSON.stringify(body),
       headers: { 'content-type': 'application/json' },
       isRead,
--- a/packages/platform/src/table/partitionedTable.ts
+++ b/packages/platform/src/table/partitionedTable.ts
@@ -2,95 +2,100 @@
 
 import type { PlatformError } from '../platformError.js';
 
-/** Where a row stands: transactions cover one partition, reads one partition of one table. */
+/**
+ * Address of a row. A transaction covers one partition; a read covers one partition of one table.
+ */
 export interface RowAddress {
   readonly table: string;
   readonly partition: string;
   readonly key: string;
 }
 
-/** One row of a partitioned table. */
+/** Row of a partitioned table. */
 export interface PartitionedRow extends RowAddress {
   readonly value: Buffer;
-  /** From one counter of the whole store; it grows with every transaction. */
+  /** Value of a store-wide counter that grows with every transaction. */
   readonly version: number;
 }
 
-/** A row that was written or removed since some version. */
+/** Write or removal of a row. */
 export type RowChange =
   | { readonly kind: 'removed'; readonly row: RowAddress; readonly version: number }
   | { readonly kind: 'written'; readonly row: PartitionedRow };
 
-/** What to read of one partition. */
+/** Request for a range of rows of one partition. */
 export interface RangeRequest {
   readonly table: string;
   readonly partition: string;
-  /** First key, included. */
+  /** Start of the range, inclusive. */
   readonly from?: string;
-  /** End of the range, excluded. */
+  /** End of the range, exclusive. */
   readonly to?: string;
-  /** At most this many rows. */
+  /** Maximum number of rows. */
   readonly limit?: number;
 }
 
-/** Rows as of a single moment, in the order of their keys. */
+/** Consistent snapshot of rows, ordered by key. */
 export interface RangePage {
   readonly rows: readonly PartitionedRow[];
   /** Whether the range holds more rows than the page. */
   readonly isTruncated: boolean;
-  /** Version of the whole store at that moment. */
+  /** Version of the whole store at the time of the snapshot. */
   readonly version: number;
-  /** Steady clock of the store, in milliseconds. */
+  /** Time on the monotonic clock of the store, in milliseconds. */
   readonly storeTime: number;
 }
 
-/** What to wait for. */
+/** Request for changes of a table. */
 export interface ChangesRequest {
   readonly table: string;
-  /** Changes later than this version. */
+  /** Only changes after this version are returned. */
   readonly after: number;
-  /** Longest wait for a first change, in milliseconds. */
+  /** Maximum wait for the first change, in milliseconds. */
   readonly waitMilliseconds: number;
 }
 
-/** Changes of a table in the order of their versions; none after an uneventful wait. */
+/**
+ * Changes of a table, ordered by version; empty if none occurred during the wait. `history-lost`
+ * means that changes after the requested version are no longer available.
+ */
 export type ChangesAnswer =
   | { readonly kind: 'changes'; readonly changes: readonly RowChange[] }
   | { readonly kind: 'history-lost' };
 
-/** A row that must have a version; 0 when it must be absent. */
+/** Check of a transaction that a row has a version, or is absent if the version is 0. */
 export interface PartitionedRowCheck extends RowAddress {
   readonly version: number;
 }
 
-/** A row to write. */
+/** Write of a row. */
 export interface PartitionedRowWrite extends RowAddress {
   readonly value: Buffer;
 }
 
-/** Checks and writes of one partition that take effect together or not at all. */
+/** Atomic transaction on one partition: its writes and removals take effect if all checks hold. */
 export interface PartitionedTransaction {
   readonly checks: readonly PartitionedRowCheck[];
   readonly writes: readonly PartitionedRowWrite[];
   readonly removals: readonly RowAddress[];
 }
 
-/** How a transaction ended when it is known how. */
+/** Known outcome of a transaction. */
 export type PartitionedOutcome =
   | { readonly status: 'committed'; readonly version: number; readonly storeTime: number }
   | {
       readonly status: 'conflict';
-      /** The rows of the checks as they are now; absent rows are left out. */
+      /** Current rows of the checks; absent rows are left out. */
       readonly rows: readonly PartitionedRow[];
       readonly storeTime: number;
     };
 
-/** A transactional table service whose tables have partitions and a feed of changes. */
+/** Transactional table service with partitioned tables and change feeds. */
 export interface PartitionedTable {
   /** Reads a page of a range. */
   read(request: RangeRequest): Promise<Result<RangePage, PlatformError>>;
   /** Waits for changes of a table. */
   changes(request: ChangesRequest): Promise<Result<ChangesAnswer, PlatformError>>;
-  /** Commits if every check holds. */
+  /** Commits the transaction if every check holds. */
   transact(transaction: PartitionedTransaction): Promise<Result<PartitionedOutcome, PlatformError>>;
 }
--- a/packages/platform/src/table/tableService.ts
+++ b/packages/platform/src/table/tableService.ts
@@ -2,66 +2,66 @@
 
 import type { PlatformError } from '../platformError.js';
 
-/** One row of the table service. */
+/** Row of the table service. */
 export interface Row {
   readonly key: string;
-  /** Grows with every write of the row; 0 stands for an absent row. */
+  /** Version of the row, which grows with every write; 0 if the row is absent. */
   readonly version: number;
-  /** Text, at most 64 KiB; empty when the row is absent. */
+  /** Text of at most 64 KiB; empty if the row is absent. */
   readonly value: string;
 }
 
-/** A row that must have a version for a transaction to commit. */
+/** Check of a transaction that a row has the expected version. */
 export interface RowCheck {
   readonly key: string;
-  /** Expected version; 0 when the row must be absent. */
+  /** Expected version; 0 if the row must be absent. */
   readonly version: number;
 }
 
-/** A row to write. */
+/** Write or deletion of a row. */
 export interface RowWrite {
   readonly key: string;
   /** New value; `null` deletes the row. */
   readonly value: string | null;
 }
 
-/** Checks and writes that take effect together or not at all. */
+/** Atomic transaction: all of its writes take effect if all of its checks hold, otherwise none. */
 export interface Transaction {
   readonly checks: readonly RowCheck[];
   readonly writes: readonly RowWrite[];
 }
 
-/** How a transaction ended when it is known how. */
+/** Known outcome of a transaction. */
 export type TransactionOutcome =
   | { readonly status: 'committed'; readonly rows: readonly Row[] }
   | {
       readonly status: 'conflict';
-      /** The rows of the failed checks as they are now. */
+      /** Current rows of the failed checks. */
       readonly rows: readonly Row[];
     };
 
-/** The rows of a prefix, one page at a time, in the order of keys. */
+/** Page of the rows whose keys begin with a prefix, ordered by key. */
 export interface ScanPage {
   readonly rows: readonly Row[];
-  /** Give it as `after` to read on; `undefined` when there is no more. */
+  /** Value of `after` for the next page; `undefined` on the last page. */
   readonly next: string | undefined;
 }
 
-/** What of a prefix to read. */
+/** Request for a page of the rows whose keys begin with a prefix. */
 export interface ScanRequest {
   readonly prefix: string;
   /** Only keys greater than this one. */
   readonly after?: string;
-  /** At most this many rows. */
+  /** Maximum number of rows. */
   readonly limit: number;
 }
 
-/** The platform's transactional table service: linearizable, with outages. */
+/** Transactional table service of the platform. It is linearizable; outages occur. */
 export interface TableService {
-  /** Reads rows; an absent row comes back with version 0. */
+  /** Reads rows in the order of `keys`; an absent row is returned with version 0. */
   read(keys: readonly string[]): Promise<Result<readonly Row[], PlatformError>>;
   /** Reads a page of the rows whose keys begin with a prefix. */
   scan(request: ScanRequest): Promise<Result<ScanPage, PlatformError>>;
-  /** Commits if every check holds. */
+  /** Commits the transaction if every check holds. */
   transact(transaction: Transaction): Promise<Result<TransactionOutcome, PlatformError>>;
 }
--- a/packages/platform/src/table/transactSettled.ts
+++ b/packages/platform/src/table/transactSettled.ts
@@ -6,33 +6,36 @@
 
 import { PlatformError } from '../platformError.js';
 
-/** How to settle a transaction whose answer was lost. */
+/** Options of {@link transactSettled}. */
 export interface SettleOptions {
   readonly timers: TimerService;
   /**
-   * A row that the transaction writes and that nobody writes after it or with the same value:
-   * finding the value proves that the transaction took effect.
+   * Key of a row that marks the commit: the transaction writes it, no other writer overwrites it
+   * afterwards, and none writes the same value. Its value therefore shows that the transaction
+   * took effect.
    */
   readonly proofKey: string;
-  /** Whether nobody ever deletes the rows that the transaction needs to be absent. */
+  /** Whether the rows that the transaction requires to be absent are never deleted once written. */
   readonly areRowsKept?: boolean;
-  /** How many times to ask before giving up. */
+  /** Maximum number of attempts. */
   readonly attempts: number;
   /** Pause between attempts, in milliseconds. */
   readonly pauseMilliseconds: number;
 }
 
 /**
- * Commits a transaction once, although answers may be lost after the write has taken effect.
- * Sending it again is safe because its checks fail once it has been applied; a transaction
- * without a check on a row that it writes is refused.
+ * Retries a transaction until its outcome is known; it commits at most once even if responses are
+ * lost after the writes took effect. Repeating it is safe because its checks fail once it has been
+ * applied. Throws a TypeError if the transaction does not both check and write the commit marker.
  *
- * A conflict is final: an attempt without an answer that arrives late fails as well. This holds
- * when a failed check names a version above 0, since versions only grow, or when the rows that had
- * to be absent are kept for good. Where neither is so the outcome is `outcome-unknown`.
+ * A reported conflict is final: an earlier attempt that is delayed on its way to the platform fails
+ * as well. This holds if a failed check expects a version above 0, since versions only grow, or if
+ * the rows that had to be absent are never deleted once written. Otherwise the result is
+ * `outcome-unknown`.
  *
- * @returns the outcome, or `outcome-unknown` when the platform stayed silent; of a commit that
- * was found by its proof, the rows that still hold what was written
+ * @returns the outcome, or an error once the attempts are used up: `outcome-unknown` if one of them
+ * may have taken effect, else `unavailable`. For a commit that was detected by its marker, the rows
+ * are those that still hold the written values.
  * @example
  * const outcome = await transactSettled(table, { checks, writes }, { timers, proofKey, … });
  */
@@ -41,7 +44,7 @@
   transaction: Transaction,
   options: SettleOptions,
 ): Promise<Result<TransactionOutcome, PlatformError>> {
-  requireGuard(transaction, options.proofKey);
+  requireCommitMarker(transaction, options.proofKey);
   let mayHaveApplied = false;
   for (let attempt = 0; attempt < options.attempts; attempt++) {
     if (attempt > 0) {
@@ -55,62 +58,68 @@
     if (outcome.val.status === 'committed' || !mayHaveApplied) {
       return outcome;
     }
-    const written = await readWritten(table, transaction);
-    if (written.ok) {
-      return judge(transaction, options, written.val, outcome.val);
+    const writtenRows = await readWrittenRows(table, transaction);
+    if (writtenRows.ok) {
+      return resolveConflict(transaction, options, writtenRows.val, outcome.val);
     }
   }
   const failure = mayHaveApplied ? 'outcome-unknown' : 'unavailable';
-  return Err(new PlatformError(failure, `no answer in ${options.attempts} attempts`));
+  return Err(new PlatformError(failure, `no known outcome after ${options.attempts} attempts`));
 }
 
-/** A second arrival must fail: some row that is written must be checked, and the proof too. */
-function requireGuard(transaction: Transaction, proofKey: string): void {
+/**
+ * Throws if the transaction does not both check and write the commit marker. The check makes the
+ * transaction fail if it arrives a second time.
+ */
+function requireCommitMarker(transaction: Transaction, commitMarkerKey: string): void {
   const isWritten = transaction.writes.some(
-    write => write.key === proofKey && write.value !== null,
+    write => write.key === commitMarkerKey && write.value !== null,
   );
-  const isChecked = transaction.checks.some(check => check.key === proofKey);
+  const isChecked = transaction.checks.some(check => check.key === commitMarkerKey);
   if (!isWritten || !isChecked) {
-    throw new TypeError(`the transaction must check and write the row ${proofKey}`);
+    throw new TypeError(`the transaction must check and write the row ${commitMarkerKey}`);
   }
 }
 
-async function readWritten(
+async function readWrittenRows(
   table: TableService,
   transaction: Transaction,
 ): Promise<Result<readonly Row[], PlatformError>> {
-  const read = await table.read(transaction.writes.map(write => write.key));
-  return read.map(rows =>
-    rows.filter((row, index) => isStillWritten(row, transaction, transaction.writes[index]?.value)),
+  const result = await table.read(transaction.writes.map(write => write.key));
+  return result.map(rows =>
+    rows.filter((row, index) =>
+      holdsWrittenValue(row, transaction, transaction.writes[index]?.value),
+    ),
   );
 }
 
-/** Whether a row holds what the transaction wrote, and not the same from before it. */
-function isStillWritten(
+/** Whether a row holds the value that the transaction wrote, not an equal value from before it. */
+function holdsWrittenValue(
   row: Row,
   transaction: Transaction,
   value: string | null | undefined,
 ): boolean {
-  const before = transaction.checks.find(check => check.key === row.key)?.version;
-  return row.version > 0 && row.version !== before && row.value === value;
+  const checkedVersion = transaction.checks.find(check => check.key === row.key)?.version;
+  return row.version > 0 && row.version !== checkedVersion && row.value === value;
 }
 
-function judge(
+/** Distinguishes a conflict with another writer from one with an earlier attempt of the caller. */
+function resolveConflict(
   transaction: Transaction,
   options: SettleOptions,
-  written: readonly Row[],
+  writtenRows: readonly Row[],
   conflict: TransactionOutcome,
 ): Result<TransactionOutcome, PlatformError> {
-  if (written.some(row => row.key === options.proofKey)) {
-    return Ok({ rows: written, status: 'committed' });
+  if (writtenRows.some(row => row.key === options.proofKey)) {
+    return Ok({ rows: writtenRows, status: 'committed' });
   }
-  return options.areRowsKept === true || hasPassedVersion(transaction, conflict)
+  return options.areRowsKept === true || hasOutdatedCheck(transaction, conflict)
     ? Ok(conflict)
     : Err(new PlatformError('outcome-unknown', 'a late attempt may still take effect'));
 }
 
-/** Whether a failed check names a version that the row has passed for good. */
-function hasPassedVersion(transaction: Transaction, conflict: TransactionOutcome): boolean {
-  const failed = new Set(conflict.rows.map(row => row.key));
-  return transaction.checks.some(check => failed.has(check.key) && check.version > 0);
+/** Whether a failed check expects a version above 0, which the row can never have again. */
+function hasOutdatedCheck(transaction: Transaction, conflict: TransactionOutcome): boolean {
+  const failedKeys = new Set(conflict.rows.map(row => row.key));
+  return transaction.checks.some(check => failedKeys.has(check.key) && check.version > 0);
 }
--- a/packages/platform/tests/putSettled.test.ts
+++ b/packages/platform/tests/putSettled.test.ts
@@ -33,12 +33,15 @@
     expect(objects.puts).toBe(1);
   });
 
-  it.each([{}, { lostAnswers: 1 }])('leaves the object of another alone with %j', async faults => {
-    const objects = new MemoryObjects();
-    objects.putIfAbsent('name', bytes('theirs'));
-    expect(await put(objects, faults)).toBe('exists');
-    expect(objects.get('name')).toEqual(new Uint8Array(bytes('theirs')));
-  });
+  it.each([{}, { lostAnswers: 1 }])(
+    'does not overwrite an existing object with %j',
+    async faults => {
+      const objects = new MemoryObjects();
+      objects.putIfAbsent('name', bytes('theirs'));
+      expect(await put(objects, faults)).toBe('exists');
+      expect(objects.get('name')).toEqual(new Uint8Array(bytes('theirs')));
+    },
+  );
 
   it.each([
     ['unavailable', { errors: 3 }],
--- a/packages/platform/tests/transactSettled.test.ts
+++ b/packages/platform/tests/transactSettled.test.ts
@@ -18,17 +18,20 @@
 const SEED = 880;
 const ATTEMPTS = 4;
 
-/** What becomes of one attempt: `late` takes effect when the test says so, or never. */
-type Fate = 'answered' | 'late' | 'lost' | 'refused' | 'swallowed';
+/**
+ * Outcome of one attempt: `lost` takes effect without a response, `swallowed` never takes effect,
+ * and `late` takes effect only if the test applies it later.
+ */
+type ScriptedOutcome = 'answered' | 'late' | 'lost' | 'refused' | 'swallowed';
 
-/** A table whose attempts meet the fates given, in turn; then they are answered. */
-class FateTable implements TableService {
-  public readonly late: Transaction[] = [];
-  public beforeNext: () => void = () => undefined;
+/** Table whose attempts have the scripted outcomes in order; later attempts are answered. */
+class ScriptedTable implements TableService {
+  public readonly delayedTransactions: Transaction[] = [];
+  public beforeAttempt: () => void = () => undefined;
 
   public constructor(
     private readonly table: MemoryTable,
-    private readonly fates: Fate[],
+    private readonly scriptedOutcomes: ScriptedOutcome[],
   ) {}
 
   public async read(keys: readonly string[]): Promise<Result<readonly Row[], PlatformError>> {
@@ -43,12 +46,12 @@
     transaction: Transaction,
   ): Promise<Result<TransactionOutcome, PlatformError>> {
     await Promise.resolve();
-    this.beforeNext();
-    switch (this.fates.shift() ?? 'answered') {
+    this.beforeAttempt();
+    switch (this.scriptedOutcomes.shift() ?? 'answered') {
       case 'answered':
         return Ok(this.table.transact(transaction));
       case 'late':
-        this.late.push(transaction);
+        this.delayedTransactions.push(transaction);
         return Err(new PlatformError('outcome-unknown', 'delayed'));
       case 'lost':
         this.table.transact(transaction);
@@ -63,16 +66,16 @@
 
 interface Setup {
   readonly table: MemoryTable;
-  readonly fated: FateTable;
+  readonly scriptedTable: ScriptedTable;
   readonly settle: (
     transaction: Transaction,
     areRowsKept?: boolean,
   ) => Promise<Result<TransactionOutcome, PlatformError>>;
 }
 
-function setUp(...fates: Fate[]): Setup {
+function setUp(...scriptedOutcomes: ScriptedOutcome[]): Setup {
   const table = new MemoryTable();
-  const fated = new FateTable(table, fates);
+  const scriptedTable = new ScriptedTable(table, scriptedOutcomes);
   const timers = new ManualTimerService();
   const settle: Setup['settle'] = async (transaction, areRowsKept = true) => {
     const options = {
@@ -82,11 +85,11 @@
       proofKey: 'mine',
       timers,
     };
-    const settled = transactSettled(fated, transaction, options);
-    const [outcome] = await Promise.all([settled, timers.advance(1_000)]);
+    const pendingOutcome = transactSettled(scriptedTable, transaction, options);
+    const [outcome] = await Promise.all([pendingOutcome, timers.advance(1_000)]);
     return outcome;
   };
-  return { fated, settle, table };
+  return { scriptedTable, settle, table };
 }
 
 const write: Transaction = {
@@ -96,17 +99,20 @@
     { key: 'head', value: '1' },
   ],
 };
-const rival: Transaction = { checks: [], writes: [{ key: 'mine', value: 'theirs' }] };
+const competingTransaction: Transaction = {
+  checks: [],
+  writes: [{ key: 'mine', value: 'theirs' }],
+};
 
 describe('transactSettled', () => {
-  it.each<readonly Fate[]>([
+  it.each<readonly ScriptedOutcome[]>([
     [],
     ['lost'],
     ['refused', 'lost'],
     ['lost', 'refused', 'lost'],
     ['swallowed'],
-  ])('commits once after %j', async (...fates) => {
-    const { settle, table } = setUp(...fates);
+  ])('commits once after %j', async (...scriptedOutcomes) => {
+    const { settle, table } = setUp(...scriptedOutcomes);
     const outcome = (await settle(write)).unwrap();
     expect(outcome.status).toBe('committed');
     expect(outcome.rows.map(row => [row.key, row.value])).toEqual([
@@ -116,37 +122,39 @@
     expect(table.commits).toBe(1);
   });
 
-  it('lets a delayed duplicate do nothing after a retry committed', async () => {
-    const { fated, settle, table } = setUp('late');
+  it('leaves a delayed duplicate without effect after a retry committed', async () => {
+    const { scriptedTable, settle, table } = setUp('late');
     expect((await settle(write)).unwrap().status).toBe('committed');
     table.transact({ checks: [], writes: [{ key: 'head', value: '2' }] });
-    fated.late.forEach(transaction => table.transact(transaction));
+    scriptedTable.delayedTransactions.forEach(transaction => table.transact(transaction));
     expect(table.read(['head'])[0]?.value).toBe('2');
   });
 
-  it('tells a conflict when a rival was first, and no delayed attempt can undo it', async () => {
-    const { fated, settle, table } = setUp('late');
-    fated.beforeNext = () => table.transact({ ...rival, checks: write.checks });
+  it('reports a conflict if another writer was first, and delayed attempts cannot overwrite it', async () => {
+    const { scriptedTable, settle, table } = setUp('late');
+    scriptedTable.beforeAttempt = () =>
+      table.transact({ ...competingTransaction, checks: write.checks });
     expect((await settle(write)).unwrap().status).toBe('conflict');
-    fated.late.forEach(transaction => table.transact(transaction));
+    scriptedTable.delayedTransactions.forEach(transaction => table.transact(transaction));
     expect(table.read(['mine'])[0]?.value).toBe('theirs');
   });
 
-  it('claims no certainty when the row that had to be absent may be deleted again', async () => {
-    const { fated, settle, table } = setUp('late');
-    fated.beforeNext = () => table.transact({ ...rival, checks: write.checks });
+  it('reports an unknown outcome if the row that had to be absent may be deleted again', async () => {
+    const { scriptedTable, settle, table } = setUp('late');
+    scriptedTable.beforeAttempt = () =>
+      table.transact({ ...competingTransaction, checks: write.checks });
     const outcome = await settle(write, false);
     expect(outcome.err && outcome.val.failure).toBe('outcome-unknown');
     table.transact({ checks: [], writes: [{ key: 'mine', value: null }] });
-    fated.late.forEach(transaction => table.transact(transaction));
+    scriptedTable.delayedTransactions.forEach(transaction => table.transact(transaction));
     expect(table.read(['mine'])[0]?.value).toBe('unique');
   });
 
-  it('does not take an equal value from before for its own', async () => {
-    const { fated, settle, table } = setUp('swallowed');
+  it('does not mistake an equal value from before the transaction for its own write', async () => {
+    const { scriptedTable, settle, table } = setUp('swallowed');
     const [row] = table.transact({ checks: [], writes: [{ key: 'mine', value: 'unique' }] }).rows;
     table.transact({ checks: [], writes: [{ key: 'guard', value: 'moved' }] });
-    fated.beforeNext = () => undefined;
+    scriptedTable.beforeAttempt = () => undefined;
     const checks = [
       { key: 'mine', version: row?.version ?? 0 },
       { key: 'guard', version: 99 },
@@ -154,10 +162,10 @@
     expect((await settle({ ...write, checks })).unwrap().status).toBe('conflict');
   });
 
-  it('does not hand out rows that another has written since', async () => {
-    const { fated, settle, table } = setUp('lost');
+  it('does not return rows that another writer has overwritten since', async () => {
+    const { scriptedTable, settle, table } = setUp('lost');
     let attempts = 0;
-    fated.beforeNext = () => {
+    scriptedTable.beforeAttempt = () => {
       if (++attempts === 2) {
         table.transact({ checks: [], writes: [{ key: 'head', value: 'theirs' }] });
       }
@@ -165,7 +173,7 @@
     expect((await settle(write)).unwrap().rows.map(row => row.key)).toEqual(['mine']);
   });
 
-  it('refuses a transaction whose second arrival would take effect', async () => {
+  it('rejects a transaction that would take effect again if it arrived twice', async () => {
     const { settle } = setUp();
     await expect(settle({ ...write, checks: [] })).rejects.toThrow('must check and write');
   });
@@ -173,31 +181,39 @@
   it.each([
     ['unavailable', ['refused', 'refused', 'refused', 'refused']],
     ['outcome-unknown', ['refused', 'swallowed', 'refused', 'refused']],
-  ] as const)('gives up with %s', async (failure, fates) => {
-    const outcome = await setUp(...fates).settle(write);
+  ] as const)('gives up with %s', async (failure, scriptedOutcomes) => {
+    const outcome = await setUp(...scriptedOutcomes).settle(write);
     expect(outcome.err && outcome.val.failure).toBe(failure);
   });
 
-  it('says only what is true, for every order of fates, rivals and late arrivals', async () => {
-    const fate = fc.constantFrom<Fate>('answered', 'late', 'lost', 'refused', 'swallowed');
+  it('reports only correct outcomes for every order of failures, competing writes and delayed attempts', async () => {
+    const scriptedOutcome = fc.constantFrom<ScriptedOutcome>(
+      'answered',
+      'late',
+      'lost',
+      'refused',
+      'swallowed',
+    );
     await fc.assert(
       fc.asyncProperty(
-        fc.array(fate, { maxLength: ATTEMPTS }),
+        fc.array(scriptedOutcome, { maxLength: ATTEMPTS }),
         fc.option(fc.nat(ATTEMPTS - 1)),
-        async (fates, rivalAt) => {
-          const { fated, settle, table } = setUp(...fates);
+        async (scriptedOutcomes, competingAttempt) => {
+          const { scriptedTable, settle, table } = setUp(...scriptedOutcomes);
           let attempts = 0;
-          fated.beforeNext = () => {
-            if (attempts++ === rivalAt) {
-              table.transact({ ...rival, checks: write.checks });
+          scriptedTable.beforeAttempt = () => {
+            if (attempts++ === competingAttempt) {
+              table.transact({ ...competingTransaction, checks: write.checks });
             }
           };
           const outcome = await settle(write);
-          const said = outcome.ok ? outcome.val.status : outcome.val.failure;
-          fated.late.forEach(transaction => table.transact(transaction));
+          const reported = outcome.ok ? outcome.val.status : outcome.val.failure;
+          scriptedTable.delayedTransactions.forEach(transaction => table.transact(transaction));
           const isApplied = table.read(['mine'])[0]?.value === 'unique';
-          expect(said === 'committed' ? isApplied : true).toBe(true);
-          expect(said === 'conflict' || said === 'unavailable' ? isApplied : false).toBe(false);
+          expect(reported === 'committed' ? isApplied : true).toBe(true);
+          expect(reported === 'conflict' || reported === 'unavailable' ? isApplied : false).toBe(
+            false,
+          );
           expect(table.commits).toBeLessThanOrEqual(1);
         },
       ),
