--- a/packages/platform/tests/transactSettled.test.ts
+++ b/packages/platform/tests/transactSettled.test.ts
@@ -69,7 +69,7 @@
   readonly scriptedTable: ScriptedTable;
   readonly settle: (
     transaction: Transaction,
-    areRowsKept?: boolean,
+    areAbsentRowsNeverDeleted?: boolean,
   ) => Promise<Result<TransactionOutcome, PlatformError>>;
 }
 
@@ -77,9 +77,9 @@
   const table = new MemoryTable();
   const scriptedTable = new ScriptedTable(table, scriptedOutcomes);
   const timers = new ManualTimerService();
-  const settle: Setup['settle'] = async (transaction, areRowsKept = true) => {
+  const settle: Setup['settle'] = async (transaction, areAbsentRowsNeverDeleted = true) => {
     const options = {
-      areRowsKept,
+      areRowsKept: areAbsentRowsNeverDeleted,
       attempts: ATTEMPTS,
       pauseMilliseconds: 10,
       proofKey: 'mine',
