--- a/packages/control/src/bin.ts
+++ b/packages/control/src/bin.ts
@@ -20,8 +20,8 @@
 import { parseControlSettings } from './controlSettings.js';
 import { exitCodes } from './exitCode.js';
 
-/** Stands for the platform in commands that do not reach it, such as `check`. */
-const NO_PLATFORM = '127.0.0.1:1';
+/** Placeholder address for commands that do not connect to the platform, such as `check`. */
+const UNUSED_PLATFORM_ADDRESS = '127.0.0.1:1';
 const COMMANDS_WITHOUT_PLATFORM = new Set(['check']);
 
 async function loadSettings(
@@ -31,10 +31,10 @@
     return parseControlSettings({ platform: { address: options.platform } });
   }
   if (options.settings === undefined) {
-    const isNeeded = !COMMANDS_WITHOUT_PLATFORM.has(hideBin(process.argv)[0] ?? '');
-    return isNeeded
+    const isPlatformRequired = !COMMANDS_WITHOUT_PLATFORM.has(hideBin(process.argv)[0] ?? '');
+    return isPlatformRequired
       ? Err(['give --platform or --settings'])
-      : parseControlSettings({ platform: { address: NO_PLATFORM } });
+      : parseControlSettings({ platform: { address: UNUSED_PLATFORM_ADDRESS } });
   }
   try {
     return parseControlSettings(JSON.parse(await readFile(options.settings, 'utf8')));
@@ -70,13 +70,16 @@
     readFile: async path => readFile(path, 'utf8'),
     timers,
   };
-  process.exitCode = await guard(output, async () => command(context));
+  process.exitCode = await runAndReportFailure(output, async () => command(context));
   operators.close();
   platform.close();
 };
 
-/** Tells a fault, such as a file that cannot be read, in one line. */
-async function guard(output: Output, action: () => Promise<ExitCode>): Promise<ExitCode> {
+/** Runs a command; reports an unexpected failure, such as an unreadable file, in one line. */
+async function runAndReportFailure(
+  output: Output,
+  action: () => Promise<ExitCode>,
+): Promise<ExitCode> {
   try {
     return await action();
   } catch (failure) {
--- a/packages/control/src/changeRules.ts
+++ b/packages/control/src/changeRules.ts
@@ -10,36 +10,36 @@
 
 import { readStoredRules } from './storedRules.js';
 
-/** Works out a difference from the lines in the store; `undefined` when there is nothing to do. */
-export type DifferenceMaker = (lines: readonly string[]) => RuleDifference | undefined;
+/** Computes a difference from the lines in the store; `undefined` if there is nothing to change. */
+export type DifferenceComputation = (lines: readonly string[]) => RuleDifference | undefined;
 
-/** Why a change of single rules was not made. */
+/** Reason why a change of individual rules was not submitted. */
 export type ChangeFailure =
   | { readonly kind: 'invalid'; readonly errors: readonly RuleError[] }
   | { readonly kind: 'nothing-to-do' }
   | { readonly kind: 'platform'; readonly error: PlatformError };
 
-/** How often a change of single rules is tried while others change the rules too. */
-const MOST_ATTEMPTS = 10;
+/** Maximum number of attempts while concurrent changes cause conflicts. */
+const MAXIMUM_ATTEMPTS = 10;
 
 /**
- * Changes single rules. Other changes that are accepted first do no harm: the difference is worked
- * out anew from what they left.
+ * Changes individual rules. If another change is accepted first, the difference is computed again
+ * from the updated rules and submitted again.
  */
 export async function changeRules(
   context: ControlContext,
   options: ChangeOptions,
-  makeDifference: DifferenceMaker,
+  computeDifference: DifferenceComputation,
 ): Promise<Result<ChangeOutcome, ChangeFailure>> {
   const { changeId, reason, requester } = options;
   let outcome: ChangeOutcome = { changes: [], status: 'conflict' };
-  for (let attempt = 0; attempt < MOST_ATTEMPTS && outcome.status === 'conflict'; attempt++) {
+  for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS && outcome.status === 'conflict'; attempt++) {
     const stored = await readStoredRules(context.changes);
     if (stored.err) {
       return Err({ error: stored.val, kind: 'platform' });
     }
     const { head, lines } = stored.val;
-    const difference = makeDifference(lines);
+    const difference = computeDifference(lines);
     if (difference === undefined) {
       return Err({ kind: 'nothing-to-do' });
     }
@@ -49,11 +49,11 @@
     }
     const at = context.timers.wallClock();
     const proposed = { ...difference, at, changeId, reason, requester };
-    const accepted = await context.changes.accept(head, proposed, lines);
-    if (accepted.err) {
-      return Err({ error: accepted.val, kind: 'platform' });
+    const submitted = await context.changes.accept(head, proposed, lines);
+    if (submitted.err) {
+      return Err({ error: submitted.val, kind: 'platform' });
     }
-    outcome = accepted.val;
+    outcome = submitted.val;
   }
   return Ok(outcome);
 }
--- a/packages/control/src/commandLine.ts
+++ b/packages/control/src/commandLine.ts
@@ -17,14 +17,14 @@
 import { show } from './commands/show.js';
 import { status } from './commands/status.js';
 
-/** What every command takes. */
+/** Options of every command. */
 export interface GlobalOptions {
   readonly json: boolean;
   readonly platform: string | undefined;
   readonly settings: string | undefined;
 }
 
-/** Runs a command with a context made from the global options. */
+/** Runs a command with a context that is created from the global options. */
 export type CommandRunner = (
   options: GlobalOptions,
   command: (context: ControlContext) => Promise<ExitCode>,
@@ -32,44 +32,47 @@
 
 const DEFAULT_WAIT_SECONDS = 10;
 const DEFAULT_AUDIT_LIMIT = 50;
-const LARGEST_AUDIT_LIMIT = 1_000;
-
-/** The command line of zincringctl; each command stands in a module of its own. */
-export function createCommandLine(commandLine: readonly string[], run: CommandRunner): Argv {
-  const base = yargs([...commandLine])
+const MAXIMUM_AUDIT_LIMIT = 1_000;
+
+/** Creates the command-line parser of zincringctl. Each command has a module of its own. */
+export function createCommandLine(
+  commandLineArguments: readonly string[],
+  run: CommandRunner,
+): Argv {
+  const parser = yargs([...commandLineArguments])
     .scriptName('zincringctl')
     .strict()
     .demandCommand(1)
-    .option('platform', { describe: 'IP number and port of the platform', type: 'string' })
-    .option('settings', { describe: 'file of settings in JSON', type: 'string' })
+    .option('platform', { describe: 'IP address and port of the platform', type: 'string' })
+    .option('settings', { describe: 'settings file in JSON', type: 'string' })
     .option('json', { default: false, describe: 'write JSON', type: 'boolean' });
-  return addQueries(addKeys(addRules(base, run), run), run);
+  return addQueryCommands(addKeyCommands(addRuleCommands(parser, run), run), run);
 }
 
 type GlobalArgv = Argv<GlobalOptions>;
 
-function addRules(line: GlobalArgv, run: CommandRunner): GlobalArgv {
-  return line
+function addRuleCommands(parser: GlobalArgv, run: CommandRunner): GlobalArgv {
+  return parser
     .command(
       'check <file>',
       'check a rule file',
-      builder => withFile(builder),
+      builder => withFileArgument(builder),
       async options => run(options, async context => check(context, options)),
     )
     .command(
       'diff <file>',
-      'tell what applying a rule file would change',
-      builder => withFile(builder),
+      'show what applying a rule file would change',
+      builder => withFileArgument(builder),
       async options => run(options, async context => diff(context, options)),
     )
     .command(
       'apply <file>',
-      'put a rule file in force',
+      'replace the rules in the store by a rule file',
       builder =>
-        withOrigin(withFile(builder))
+        withChangeOptions(withFileArgument(builder))
           .option('base-version', {
-            coerce: toVersion,
-            describe: 'version the file was made from',
+            coerce: requireVersion,
+            describe: 'version that the file is based on',
             type: 'number',
           })
           .option('withdraw-keys', {
@@ -88,15 +91,15 @@
     );
 }
 
-function addKeys(line: GlobalArgv, run: CommandRunner): GlobalArgv {
-  return line.command('keys', 'issue and withdraw keys', keys =>
+function addKeyCommands(parser: GlobalArgv, run: CommandRunner): GlobalArgv {
+  return parser.command('keys', 'issue and withdraw keys', keys =>
     keys
       .demandCommand(1)
       .command(
         'issue <name>',
         'issue a key and show it once',
         builder =>
-          withOrigin(withName(builder)).option('workspace', {
+          withChangeOptions(withKeyNameArgument(builder)).option('workspace', {
             demandOption: true,
             describe: 'workspace of the key',
             type: 'string',
@@ -106,14 +109,14 @@
       .command(
         'withdraw <name>',
         'withdraw a key',
-        builder => withOrigin(withName(builder)),
+        builder => withChangeOptions(withKeyNameArgument(builder)),
         async options => run(options, async context => keysWithdraw(context, options)),
       ),
   );
 }
 
-function addQueries(line: GlobalArgv, run: CommandRunner): GlobalArgv {
-  return line
+function addQueryCommands(parser: GlobalArgv, run: CommandRunner): GlobalArgv {
+  return parser
     .command(
       'show',
       'write the rules in the store as a rule file',
@@ -126,26 +129,30 @@
       builder =>
         builder
           .option('after', {
-            coerce: toVersion,
+            coerce: requireVersion,
             describe: 'only changes after this version',
             type: 'number',
           })
           .option('limit', {
             default: DEFAULT_AUDIT_LIMIT,
-            describe: 'most changes',
+            describe: 'maximum number of changes',
             type: 'number',
           })
-          .option('lines', { default: false, describe: 'show the lines', type: 'boolean' }),
+          .option('lines', {
+            default: false,
+            describe: 'show the added and removed lines',
+            type: 'boolean',
+          }),
       async options =>
         run(options, async context =>
           audit(context, {
             after: options.after,
-            hasLines: options.lines,
-            limit: Math.min(Math.max(1, options.limit), LARGEST_AUDIT_LIMIT),
+            includesLines: options.lines,
+            limit: Math.min(Math.max(1, options.limit), MAXIMUM_AUDIT_LIMIT),
           }),
         ),
     )
-    .command('programs', 'look at programs', programs =>
+    .command('programs', 'inspect programs', programs =>
       programs.demandCommand(1).command(
         'show <program>',
         'show the state of a program',
@@ -155,44 +162,48 @@
     )
     .command(
       'status',
-      'ask every instance how it stands',
+      'show the status of every instance',
       builder => builder,
       async options => run(options, status),
     );
 }
 
-function withFile<Options>(builder: Argv<Options>): Argv<Options & { file: string }> {
+function withFileArgument<Options>(builder: Argv<Options>): Argv<Options & { file: string }> {
   return builder.positional('file', { demandOption: true, describe: 'rule file', type: 'string' });
 }
 
-function withName<Options>(builder: Argv<Options>): Argv<Options & { name: string }> {
+function withKeyNameArgument<Options>(builder: Argv<Options>): Argv<Options & { name: string }> {
   return builder.positional('name', { demandOption: true, describe: 'key name', type: 'string' });
 }
 
-function withOrigin<Options>(
+function withChangeOptions<Options>(
   builder: Argv<Options>,
 ): Argv<Options & { changeId: string; reason: string; requester: string; waitSeconds: number }> {
   return builder
-    .option('requester', { demandOption: true, describe: 'who asks', type: 'string' })
-    .option('reason', { demandOption: true, describe: 'why', type: 'string' })
+    .option('requester', {
+      demandOption: true,
+      describe: 'who requests the change',
+      type: 'string',
+    })
+    .option('reason', { demandOption: true, describe: 'why the change is made', type: 'string' })
     .option('changeId', {
       alias: 'change-id',
       default: randomUUID(),
       defaultDescription: 'random',
-      describe: 'identifier of the change; asking again with it is harmless',
+      describe: 'identifier of the change; repeating a command with it has no further effect',
       type: 'string',
     })
     .option('waitSeconds', {
       alias: 'wait-seconds',
       default: DEFAULT_WAIT_SECONDS,
-      describe: 'wait until the change is in force on every live instance',
+      describe: 'maximum time to wait until the change is in force on every live instance',
       type: 'number',
     });
 }
 
-function toVersion(value: number | undefined): number | undefined {
+function requireVersion(value: number | undefined): number | undefined {
   if (value !== undefined && !(Number.isSafeInteger(value) && value >= 0)) {
-    throw new Error('a version is a whole number');
+    throw new Error('a version must be a non-negative integer');
   }
   return value;
 }
--- a/packages/control/src/commands/apply.ts
+++ b/packages/control/src/commands/apply.ts
@@ -9,19 +9,20 @@
 import { failInvalid, failPlatform, failRules } from '../context/failures.js';
 import { failConflict, finishChange } from '../finishChange.js';
 import { readStoredRules } from '../storedRules.js';
-import { readVersionMark } from '../versionMark.js';
+import { parseVersionComment } from '../versionComment.js';
 
-/** What `apply` takes. */
+/** Options of `apply`. */
 export interface ApplyOptions extends ChangeOptions {
   readonly file: string;
-  /** Version that the file was made from; overrides the mark in the file. */
+  /** Version that the file is based on; overrides the version comment in the file. */
   readonly baseVersion: number | undefined;
-  /** Whether keys that the file leaves out may be withdrawn. */
+  /** Whether keys that are missing from the file may be withdrawn. */
   readonly mayWithdrawKeys: boolean;
 }
 
 /**
- * Replaces the rules in force by those of a file. Nothing is applied unless all of it is valid.
+ * Replaces the rules in the store by those of a file. Nothing is applied unless the whole file is
+ * valid.
  *
  * @example
  * const exitCode = await apply(context, { file: 'rules.txt', requester: 'dana', … });
@@ -32,32 +33,32 @@
     return failInvalid(context, problem);
   }
   const text = await context.readFile(options.file);
-  const wanted = ruleLines(text);
-  if (wanted.err) {
-    return failRules(context, wanted.val);
+  const fileLines = ruleLines(text);
+  if (fileLines.err) {
+    return failRules(context, fileLines.val);
   }
   const stored = await readStoredRules(context.changes);
   if (stored.err) {
     return failPlatform(context, stored.val);
   }
   const { head, lines } = stored.val;
-  const base = options.baseVersion ?? readVersionMark(text);
-  if (base !== undefined && base !== head.version) {
-    return await refuseOldBase(context, base, options);
+  const baseVersion = options.baseVersion ?? parseVersionComment(text);
+  if (baseVersion !== undefined && baseVersion !== head.version) {
+    return await refuseOutdatedBase(context, baseVersion, options);
   }
-  const difference = differenceOf(lines, wanted.val);
-  const withdrawn = withdrawnKeys(difference);
-  if (withdrawn.length > 0 && !options.mayWithdrawKeys) {
-    const names = withdrawn.join(', ');
+  const difference = differenceOf(lines, fileLines.val);
+  const withdrawnNames = findWithdrawnKeys(difference);
+  if (withdrawnNames.length > 0 && !options.mayWithdrawKeys) {
+    const names = withdrawnNames.join(', ');
     return failInvalid(
       context,
       `the file leaves out keys in force (${names}); add --withdraw-keys`,
     );
   }
-  return await submit(context, options, { difference, head, lines });
+  return await submitChange(context, options, { difference, head, lines });
 }
 
-async function submit(
+async function submitChange(
   context: ControlContext,
   options: ApplyOptions,
   rules: {
@@ -69,7 +70,7 @@
   const { difference, head, lines } = rules;
   const report = {
     json: { added: difference.added.length, removed: difference.removed.length },
-    lines: [`${difference.added.length} rules put in, ${difference.removed.length} taken out`],
+    lines: [`${difference.added.length} rules added, ${difference.removed.length} removed`],
   };
   if (difference.added.length + difference.removed.length === 0 && head.version > 0) {
     const unchanged = { isRepeated: true, status: 'accepted', version: head.version } as const;
@@ -78,45 +79,49 @@
   const { changeId, reason, requester } = options;
   const at = context.timers.wallClock();
   const proposed = { ...difference, at, changeId, reason, requester };
-  const accepted = await context.changes.accept(head, proposed, lines);
-  if (accepted.err) {
-    return failPlatform(context, accepted.val, changeId);
+  const outcome = await context.changes.accept(head, proposed, lines);
+  if (outcome.err) {
+    return failPlatform(context, outcome.val, changeId);
   }
-  return accepted.val.status === 'conflict'
-    ? failConflict(context, accepted.val)
-    : await finishChange(context, accepted.val, options, report);
+  return outcome.val.status === 'conflict'
+    ? failConflict(context, outcome.val)
+    : await finishChange(context, outcome.val, options, report);
 }
 
-async function refuseOldBase(
+async function refuseOutdatedBase(
   context: ControlContext,
-  base: number,
+  baseVersion: number,
   options: ApplyOptions,
 ): Promise<ExitCode> {
-  const accepted = await context.changes.findAccepted(options.changeId);
-  const changes = await context.changes.readChanges(base);
-  if (accepted.err) {
-    return failPlatform(context, accepted.val);
+  const acceptedVersion = await context.changes.findAccepted(options.changeId);
+  const changes = await context.changes.readChanges(baseVersion);
+  if (acceptedVersion.err) {
+    return failPlatform(context, acceptedVersion.val);
   }
   if (changes.err) {
     return failPlatform(context, changes.val);
   }
-  if (accepted.val !== undefined) {
-    const repeated = { isRepeated: true, status: 'accepted', version: accepted.val } as const;
+  if (acceptedVersion.val !== undefined) {
+    const repeated = {
+      isRepeated: true,
+      status: 'accepted',
+      version: acceptedVersion.val,
+    } as const;
     return await finishChange(context, repeated, options, { json: {}, lines: [] });
   }
   return failConflict(context, { changes: changes.val, status: 'conflict' });
 }
 
-/** Names of the keys that a difference takes out without putting their hash in again. */
-function withdrawnKeys(difference: RuleDifference): readonly string[] {
-  const keysOf = (lines: readonly string[]): ReadonlyMap<string, string> =>
+/** Names of the keys that a difference removes without adding a rule with the same hash. */
+function findWithdrawnKeys(difference: RuleDifference): readonly string[] {
+  const keyNamesByHash = (lines: readonly string[]): ReadonlyMap<string, string> =>
     new Map(
       lines
         .map(line => parseRuleLine(line, 1).unwrapOr(undefined))
         .flatMap(rule => (rule?.kind === 'key' ? [[rule.hash, rule.name]] : [])),
     );
-  const kept = keysOf(difference.added);
-  return [...keysOf(difference.removed)]
-    .filter(([hash]) => !kept.has(hash))
+  const addedKeyNames = keyNamesByHash(difference.added);
+  return [...keyNamesByHash(difference.removed)]
+    .filter(([hash]) => !addedKeyNames.has(hash))
     .map(([, name]) => name);
 }
--- a/packages/control/src/commands/audit.ts
+++ b/packages/control/src/commands/audit.ts
@@ -5,17 +5,17 @@
 import { exitCodes } from '../exitCode.js';
 import { formatChange, formatDifference } from '../storedRules.js';
 
-/** What `audit` takes. */
+/** Options of `audit`. */
 export interface AuditOptions {
-  /** Only changes after this version; the last ones when it is left out. */
+  /** Only changes after this version are shown; `undefined` shows the most recent ones. */
   readonly after: number | undefined;
-  /** At most this many changes. */
+  /** Maximum number of changes. */
   readonly limit: number;
-  /** Whether to show the lines of each change. */
-  readonly hasLines: boolean;
+  /** Whether to show the added and removed lines of each change. */
+  readonly includesLines: boolean;
 }
 
-/** Shows accepted changes with who asked for them, when and why. */
+/** Shows accepted changes with their time, requester and reason. */
 export async function audit(context: ControlContext, options: AuditOptions): Promise<ExitCode> {
   const head = await context.changes.readHead();
   if (head.err) {
@@ -28,7 +28,7 @@
   }
   const lines = history.val.flatMap(change => [
     formatChange(change),
-    ...(options.hasLines ? [formatDifference(change)] : []),
+    ...(options.includesLines ? [formatDifference(change)] : []),
   ]);
   context.output.report({ json: { changes: history.val }, text: lines.join('\n') });
   return exitCodes.done;
--- a/packages/control/src/commands/check.ts
+++ b/packages/control/src/commands/check.ts
@@ -6,13 +6,13 @@
 import { failRules } from '../context/failures.js';
 import { exitCodes } from '../exitCode.js';
 
-/** What `check` takes. */
+/** Options of `check`. */
 export interface CheckOptions {
   readonly file: string;
 }
 
 /**
- * Checks a rule file without the platform.
+ * Validates a rule file without connecting to the platform.
  *
  * @example
  * const exitCode = await check(context, { file: 'rules.txt' });
--- a/packages/control/src/commands/diff.ts
+++ b/packages/control/src/commands/diff.ts
@@ -7,22 +7,22 @@
 import { exitCodes } from '../exitCode.js';
 import { formatDifference, readStoredRules } from '../storedRules.js';
 
-/** What `diff` takes. */
+/** Options of `diff`. */
 export interface DiffOptions {
   readonly file: string;
 }
 
-/** Tells what applying a rule file would change. */
+/** Shows what applying a rule file would change. */
 export async function diff(context: ControlContext, options: DiffOptions): Promise<ExitCode> {
-  const wanted = ruleLines(await context.readFile(options.file));
-  if (wanted.err) {
-    return failRules(context, wanted.val);
+  const fileLines = ruleLines(await context.readFile(options.file));
+  if (fileLines.err) {
+    return failRules(context, fileLines.val);
   }
   const stored = await readStoredRules(context.changes);
   if (stored.err) {
     return failPlatform(context, stored.val);
   }
-  const difference = differenceOf(stored.val.lines, wanted.val);
+  const difference = differenceOf(stored.val.lines, fileLines.val);
   const { version } = stored.val.head;
   context.output.report({
     json: { ...difference, version },
--- a/packages/control/src/commands/keysIssue.ts
+++ b/packages/control/src/commands/keysIssue.ts
@@ -8,20 +8,20 @@
 import { failInvalid, failPlatform, failRules } from '../context/failures.js';
 import { failConflict, finishChange } from '../finishChange.js';
 
-/** What `keys issue` takes. */
+/** Options of `keys issue`. */
 export interface KeysIssueOptions extends ChangeOptions {
-  /** Name of the key's rule. */
+  /** Name in the rule of the key. */
   readonly name: string;
   readonly workspace: string;
 }
 
-/** Random bytes of a key. */
+/** Number of random bytes of a key. */
 const KEY_BYTES = 32;
-/** By this prefix logs recognise keys and leave them out. */
+/** Prefix by which keys are recognised in order to omit them from logs. */
 const KEY_PREFIX = 'zincring-';
 
 /**
- * Issues a key: it is shown once, and only its hash is kept.
+ * Issues a key. The key is shown only once, since only its hash is stored.
  *
  * @example
  * const exitCode = await keysIssue(context, { name: 'clerk', workspace: 'utility', … });
--- a/packages/control/src/commands/keysWithdraw.ts
+++ b/packages/control/src/commands/keysWithdraw.ts
@@ -10,14 +10,14 @@
 import { failInvalid, failNotFound, failPlatform, failRules } from '../context/failures.js';
 import { failConflict, finishChange } from '../finishChange.js';
 
-/** What `keys withdraw` takes. */
+/** Options of `keys withdraw`. */
 export interface KeysWithdrawOptions extends ChangeOptions {
-  /** Name of the key's rule. */
+  /** Name in the rule of the key. */
   readonly name: string;
 }
 
 /**
- * Withdraws a key: within seconds it is refused everywhere, and calls under it end.
+ * Withdraws a key. Within seconds every instance rejects it and terminates calls that use it.
  *
  * @example
  * const exitCode = await keysWithdraw(context, { name: 'clerk', … });
@@ -30,12 +30,18 @@
   if (problem !== undefined) {
     return failInvalid(context, problem);
   }
-  const repeated = await context.changes.findAccepted(options.changeId);
-  if (repeated.ok && repeated.val !== undefined) {
-    const accepted = { isRepeated: true, status: 'accepted', version: repeated.val } as const;
+  const acceptedVersion = await context.changes.findAccepted(options.changeId);
+  if (acceptedVersion.ok && acceptedVersion.val !== undefined) {
+    const accepted = {
+      isRepeated: true,
+      status: 'accepted',
+      version: acceptedVersion.val,
+    } as const;
     return await finishChange(context, accepted, options, { json: {}, lines: [] });
   }
-  const changed = await changeRules(context, options, lines => withdrawal(lines, options.name));
+  const changed = await changeRules(context, options, lines =>
+    computeWithdrawal(lines, options.name),
+  );
   if (changed.err) {
     switch (changed.val.kind) {
       case 'invalid':
@@ -55,7 +61,7 @@
   });
 }
 
-function withdrawal(lines: readonly string[], name: string): RuleDifference | undefined {
+function computeWithdrawal(lines: readonly string[], name: string): RuleDifference | undefined {
   const removed = lines.filter(line => {
     const rule = parseRuleLine(line, 1);
     return rule.ok && rule.val.kind === 'key' && rule.val.name === name;
--- a/packages/control/src/commands/programsShow.ts
+++ b/packages/control/src/commands/programsShow.ts
@@ -7,14 +7,14 @@
 
 import { failInvalid, failNotFound, failPlatform } from '../context/failures.js';
 import { exitCodes } from '../exitCode.js';
-import { inBatches } from '../waitInForce.js';
+import { mapInBatches } from '../waitUntilInForce.js';
 
-/** What `programs show` takes. */
+/** Options of `programs show`. */
 export interface ProgramsShowOptions {
   readonly program: string;
 }
 
-/** Shows the state of a program, as its home tells it. */
+/** Shows the state of a program as reported by its home. */
 export async function programsShow(
   context: ControlContext,
   options: ProgramsShowOptions,
@@ -28,13 +28,13 @@
     return failPlatform(context, listed.val);
   }
   const instances = listed.val.filter(({ role }) => role.kind === 'entry');
-  const answers = await inBatches(instances, async ({ address }) =>
-    context.operators.at(address).showProgram(program),
+  const responses = await mapInBatches(instances, async ({ address }) =>
+    context.operators.clientFor(address).showProgram(program),
   );
-  const found = answers.find(answer => answer.ok && answer.val.found);
+  const found = responses.find(response => response.ok && response.val.found);
   if (found?.ok !== true) {
-    const silent = answers.filter(answer => answer.err).length;
-    const hint = silent === 0 ? '' : `; ${silent} instances gave no answer`;
+    const unreachableCount = responses.filter(response => response.err).length;
+    const hint = unreachableCount === 0 ? '' : `; ${unreachableCount} instances gave no answer`;
     return failNotFound(context, `no instance holds the program ${program}${hint}`);
   }
   context.output.report(describeProgram(program, found.val));
@@ -43,20 +43,20 @@
 
 function describeProgram(
   program: string,
-  answer: ShowProgramResponse,
+  response: ShowProgramResponse,
 ): { readonly json: unknown; readonly text: string } {
   const json = {
-    callsLeft: answer.callsLeft,
-    digest: answer.digest,
-    durableTurn: answer.durableTurn,
-    ended: answer.ended,
-    holder: answer.holder,
-    policy: answer.policy,
+    callsLeft: response.callsLeft,
+    digest: response.digest,
+    durableTurn: response.durableTurn,
+    ended: response.ended,
+    holder: response.holder,
+    policy: response.policy,
     program,
-    shard: answer.shard,
-    tokensLeft: Number(answer.tokensLeft),
-    turn: answer.turn,
-    workspace: answer.workspace,
+    shard: response.shard,
+    tokensLeft: Number(response.tokensLeft),
+    turn: response.turn,
+    workspace: response.workspace,
   };
   const lines = Object.entries(json).map(([name, value]) => `${name}: ${String(value)}`);
   return { json, text: lines.join('\n') };
--- a/packages/control/src/commands/show.ts
+++ b/packages/control/src/commands/show.ts
@@ -4,9 +4,9 @@
 import { failPlatform } from '../context/failures.js';
 import { exitCodes } from '../exitCode.js';
 import { readStoredRules, sortRuleLines } from '../storedRules.js';
-import { writeVersionMark } from '../versionMark.js';
+import { formatVersionComment } from '../versionComment.js';
 
-/** Writes the newest rules as a rule file that `apply` takes. */
+/** Writes the newest rules as a rule file that `apply` accepts. */
 export async function show(context: ControlContext): Promise<ExitCode> {
   const stored = await readStoredRules(context.changes);
   if (stored.err) {
@@ -16,7 +16,7 @@
   const lines = sortRuleLines(stored.val.lines);
   context.output.report({
     json: { lines, version },
-    text: [writeVersionMark(version), ...lines].join('\n'),
+    text: [formatVersionComment(version), ...lines].join('\n'),
   });
   return exitCodes.done;
 }
--- a/packages/control/src/commands/status.ts
+++ b/packages/control/src/commands/status.ts
@@ -8,50 +8,51 @@
 import { failPlatform } from '../context/failures.js';
 import { formatTable } from '../context/output.js';
 import { exitCodes } from '../exitCode.js';
-import { inBatches } from '../waitInForce.js';
+import { mapInBatches } from '../waitUntilInForce.js';
 
-interface InstanceAnswer {
+/** Directory entry of an instance with its status, or the reason why it did not respond. */
+interface InstanceStatus {
   readonly entry: DirectoryEntry;
   readonly status: Result<StatusResponse, string>;
 }
 
-/** Asks every instance of the platform's list how it stands. */
+/** Shows the status of every instance in the platform's directory. */
 export async function status(context: ControlContext): Promise<ExitCode> {
   const [listed, head] = await Promise.all([context.directory.list(), context.changes.readHead()]);
   if (listed.err) {
     return failPlatform(context, listed.val);
   }
   const instances = listed.val.filter(({ role }) => role.kind === 'entry');
-  const answers = await inBatches(instances, async entry => ({
+  const instanceStatuses = await mapInBatches(instances, async entry => ({
     entry,
-    status: await context.operators.at(entry.address).status(),
+    status: await context.operators.clientFor(entry.address).status(),
   }));
   const version = head.ok ? head.val.version : undefined;
   context.output.report({
-    json: { instances: answers.map(toJson), version: version ?? null },
+    json: { instances: instanceStatuses.map(toJson), version: version ?? null },
     text: [
       `version in the store: ${version === undefined ? 'cannot be read' : String(version)}`,
-      instanceTable(answers),
-      ...upstreamTable(answers),
-      ...limitTable(answers),
+      formatInstanceTable(instanceStatuses),
+      ...formatUpstreamTable(instanceStatuses),
+      ...formatLimitTable(instanceStatuses),
     ].join('\n\n'),
   });
   return exitCodes.done;
 }
 
-function instanceTable(answers: readonly InstanceAnswer[]): string {
-  const head = ['instance', 'zone', 'list', 'ready', 'version', 'shards', 'programs', 'peers'];
-  const rows = answers.map(({ entry, status }) => {
-    const place = [entry.id, entry.zone, entry.state];
+function formatInstanceTable(instanceStatuses: readonly InstanceStatus[]): string {
+  const header = ['instance', 'zone', 'list', 'ready', 'version', 'shards', 'programs', 'peers'];
+  const rows = instanceStatuses.map(({ entry, status }) => {
+    const listing = [entry.id, entry.zone, entry.state];
     if (status.err) {
-      return [...place, `no answer: ${status.val}`];
+      return [...listing, `no answer: ${status.val}`];
     }
     const { configurationVersion, peersAlive, programs, shards } = status.val;
-    const numbers = [shards.length, programs, peersAlive].map(String);
-    const version = `${configurationVersion.toString()}${describeBlock(status.val)}`;
-    return [...place, describeReadiness(status.val), version, ...numbers];
+    const counts = [shards.length, programs, peersAlive].map(String);
+    const version = `${configurationVersion.toString()}${describeBlockedVersion(status.val)}`;
+    return [...listing, describeReadiness(status.val), version, ...counts];
   });
-  return formatTable(head, rows);
+  return formatTable(header, rows);
 }
 
 function describeReadiness(status: StatusResponse): string {
@@ -61,46 +62,51 @@
   return status.ready ? 'yes' : 'no';
 }
 
-function describeBlock({ blockedReason, blockedVersion }: StatusResponse): string {
+function describeBlockedVersion({ blockedReason, blockedVersion }: StatusResponse): string {
   return blockedVersion === 0n
     ? ''
     : ` (blocked at ${blockedVersion.toString()}: ${blockedReason})`;
 }
 
-function upstreamTable(answers: readonly InstanceAnswer[]): readonly string[] {
-  const rows = answers.flatMap(({ entry, status }) =>
+function formatUpstreamTable(instanceStatuses: readonly InstanceStatus[]): readonly string[] {
+  const rows = instanceStatuses.flatMap(({ entry, status }) =>
     status.ok
       ? status.val.upstreams.map(({ id, inFlight, service, state, window, zone }) => {
-          const bound = window === 0 ? '-' : String(window);
-          return [entry.id, service, id, zone, state, String(inFlight), bound];
+          const windowText = window === 0 ? '-' : String(window);
+          return [entry.id, service, id, zone, state, String(inFlight), windowText];
         })
       : [],
   );
-  const head = ['instance', 'service', 'upstream', 'zone', 'state', 'in flight', 'bound'];
-  return rows.length === 0 ? [] : [formatTable(head, rows)];
+  const header = ['instance', 'service', 'upstream', 'zone', 'state', 'in flight', 'bound'];
+  return rows.length === 0 ? [] : [formatTable(header, rows)];
 }
 
-function limitTable(answers: readonly InstanceAnswer[]): readonly string[] {
-  const rows = answers.flatMap(({ entry, status }) =>
+function formatLimitTable(instanceStatuses: readonly InstanceStatus[]): readonly string[] {
+  const rows = instanceStatuses.flatMap(({ entry, status }) =>
     status.ok
       ? status.val.limits.map(({ granted, refused, tokens, workspace }) => {
-          const numbers = [tokens.toFixed(1), granted.toString(), refused.toString()];
-          return [entry.id, workspace, ...numbers];
+          const counts = [tokens.toFixed(1), granted.toString(), refused.toString()];
+          return [entry.id, workspace, ...counts];
         })
       : [],
   );
-  const head = ['instance', 'workspace', 'tokens', 'granted', 'refused'];
-  return rows.length === 0 ? [] : [formatTable(head, rows)];
+  const header = ['instance', 'workspace', 'tokens', 'granted', 'refused'];
+  return rows.length === 0 ? [] : [formatTable(header, rows)];
 }
 
-function toJson({ entry, status }: InstanceAnswer): unknown {
-  const place = { address: entry.address, instance: entry.id, list: entry.state, zone: entry.zone };
+function toJson({ entry, status }: InstanceStatus): unknown {
+  const listing = {
+    address: entry.address,
+    instance: entry.id,
+    list: entry.state,
+    zone: entry.zone,
+  };
   if (status.err) {
-    return { ...place, failure: status.val };
+    return { ...listing, failure: status.val };
   }
   const { val } = status;
   return {
-    ...place,
+    ...listing,
     blockedReason: val.blockedReason,
     blockedVersion: Number(val.blockedVersion),
     configurationVersion: Number(val.configurationVersion),
--- a/packages/control/src/context/controlContext.ts
+++ b/packages/control/src/context/controlContext.ts
@@ -5,29 +5,29 @@
 import type { OperatorClients } from './operatorClients.js';
 import type { Output } from './output.js';
 
-/** Everything that the commands reach outside themselves. */
+/** External dependencies of the commands. */
 export interface ControlContext {
   readonly changes: VersionedChanges;
   readonly directory: InstanceDirectory;
   readonly operators: OperatorClients;
   readonly timers: TimerService;
   readonly output: Output;
-  /** Reads a file as UTF-8 text; rejects when it cannot. */
+  /** Reads a file as UTF-8 text; rejects if it cannot be read. */
   readonly readFile: (path: string) => Promise<string>;
-  /** Random bytes from a cryptographic source. */
+  /** Returns random bytes from a cryptographically secure source. */
   readonly randomBytes: (count: number) => Buffer;
 }
 
-/** Who asks for a change, and why. */
+/** Requester of a change and the reason for it. */
 export interface ChangeRequester {
   readonly requester: string;
   readonly reason: string;
 }
 
-/** What every command that changes something takes. */
+/** Options of every command that changes rules. */
 export interface ChangeOptions extends ChangeRequester {
-  /** Identifier of the change; asking again with the same one is harmless. */
+  /** Identifier of the change; repeating a command with the same one has no further effect. */
   readonly changeId: string;
-  /** How long to wait until the change is in force everywhere; 0 for not at all. */
+  /** Maximum time to wait until the change is in force on every live instance; 0 for no wait. */
   readonly waitSeconds: number;
 }
--- a/packages/control/src/context/failures.ts
+++ b/packages/control/src/context/failures.ts
@@ -8,13 +8,13 @@
 
 import { exitCodes } from '../exitCode.js';
 
-/** Tells that something given is not valid. */
+/** Reports invalid input. */
 export function failInvalid(context: Pick<ControlContext, 'output'>, message: string): ExitCode {
   context.output.fail({ json: { error: 'invalid', message }, text: message });
   return exitCodes.invalid;
 }
 
-/** Tells the errors of a rule file. */
+/** Reports the errors of a rule file. */
 export function failRules(
   context: Pick<ControlContext, 'output'>,
   errors: readonly RuleError[],
@@ -24,25 +24,25 @@
   return exitCodes.invalid;
 }
 
-/** Tells that something named does not exist. */
+/** Reports that something named in the command does not exist. */
 export function failNotFound(context: Pick<ControlContext, 'output'>, message: string): ExitCode {
   context.output.fail({ json: { error: 'not-found', message }, text: message });
   return exitCodes.notFound;
 }
 
-/** Tells that the platform failed. */
+/** Reports a failure of the platform. */
 export function failPlatform(
   context: Pick<ControlContext, 'output'>,
   error: PlatformError,
   changeId?: string,
 ): ExitCode {
   const isUnknown = error.failure === 'outcome-unknown' && changeId !== undefined;
-  const advice = isUnknown
-    ? `\nThe change may have been accepted. Ask again with --change-id ${changeId}.`
+  const hint = isUnknown
+    ? `\nThe change may have been accepted. Repeat the command with --change-id ${changeId}.`
     : '';
   context.output.fail({
     json: { changeId, error: error.failure, message: error.message },
-    text: `${error.message}${advice}`,
+    text: `${error.message}${hint}`,
   });
   return exitCodes.unavailable;
 }
--- a/packages/control/src/context/operatorClients.ts
+++ b/packages/control/src/context/operatorClients.ts
@@ -11,28 +11,28 @@
 import { Err, failureText, Ok, SessionManager, SystemTimerService } from '@zincring/core';
 import { OperatorService } from '@zincring/protocol';
 
-/** What zincringctl asks of one instance; a failure is told as text. */
+/** Client of one instance. Failures are returned as text. */
 export interface OperatorClient {
   status(): Promise<Result<StatusResponse, string>>;
   showProgram(program: string): Promise<Result<ShowProgramResponse, string>>;
   readConfiguration(after: number): Promise<Result<ReadConfigurationResponse, string>>;
 }
 
-/** Clients of the instances. */
+/** Creates clients of instances and owns their connections. */
 export interface OperatorClients {
-  /** The client of a peer address. */
-  at(address: string): OperatorClient;
-  /** Closes every connection. */
+  /** Returns a client of the instance with this peer address. */
+  clientFor(address: string): OperatorClient;
+  /** Closes all connections. */
   close(): void;
 }
 
 const TIMEOUT_MILLISECONDS = 3_000;
 
-/** Speaks to the instances over HTTP/2, with one connection each. */
+/** Clients that communicate over HTTP/2, with one connection per instance. */
 export class ConnectOperatorClients implements OperatorClients {
   private readonly sessions = new Map<string, SessionManager>();
 
-  public at(address: string): OperatorClient {
+  public clientFor(address: string): OperatorClient {
     const baseUrl = `http://${address}`;
     const sessionManager =
       this.sessions.get(address) ?? new SessionManager(baseUrl, new SystemTimerService());
@@ -53,11 +53,13 @@
   public constructor(private readonly client: Client<typeof OperatorService>) {}
 
   public async status(): Promise<Result<StatusResponse, string>> {
-    return await settle(this.client.status({}, { timeoutMs: TIMEOUT_MILLISECONDS }));
+    return await toResult(this.client.status({}, { timeoutMs: TIMEOUT_MILLISECONDS }));
   }
 
   public async showProgram(program: string): Promise<Result<ShowProgramResponse, string>> {
-    return await settle(this.client.showProgram({ program }, { timeoutMs: TIMEOUT_MILLISECONDS }));
+    return await toResult(
+      this.client.showProgram({ program }, { timeoutMs: TIMEOUT_MILLISECONDS }),
+    );
   }
 
   public async readConfiguration(
@@ -65,11 +67,11 @@
   ): Promise<Result<ReadConfigurationResponse, string>> {
     const request = { after: BigInt(after) };
     const options = { timeoutMs: TIMEOUT_MILLISECONDS };
-    return await settle(this.client.readConfiguration(request, options));
+    return await toResult(this.client.readConfiguration(request, options));
   }
 }
 
-async function settle<Value>(promise: Promise<Value>): Promise<Result<Value, string>> {
+async function toResult<Value>(promise: Promise<Value>): Promise<Result<Value, string>> {
   try {
     return Ok(await promise);
   } catch (failure) {
--- a/packages/control/src/context/output.ts
+++ b/packages/control/src/context/output.ts
@@ -1,9 +1,9 @@
-/** Where text goes. */
+/** Destination of text output. */
 export interface TextSink {
   write(text: string): unknown;
 }
 
-/** How to write. */
+/** Options of {@link Output}. */
 export interface OutputOptions {
   readonly standard: TextSink;
   readonly errors: TextSink;
@@ -11,44 +11,47 @@
   readonly isJson: boolean;
 }
 
-/** A result in both forms. */
+/** Result of a command in both output formats. */
 export interface Report {
-  /** For scripts. */
+  /** JSON value for scripts. */
   readonly json: unknown;
-  /** For people, without a line break at the end. */
+  /** Text for people, without a trailing line break. */
   readonly text: string;
 }
 
-/** Writes the results of a command: one JSON value, or text. */
+/** Writes the result of a command as one JSON value or as text. */
 export class Output {
   public constructor(private readonly options: OutputOptions) {}
 
-  /** Writes the result. */
+  /** Writes the result of a successful command. */
   public report({ json, text }: Report): void {
     const content = this.options.isJson ? JSON.stringify(json) : text;
     this.options.standard.write(content === '' ? '' : `${content}\n`);
   }
 
-  /** Writes why the command did not succeed. */
+  /** Writes the reason why the command failed. */
   public fail({ json, text }: Report): void {
     this.options.errors.write(`${this.options.isJson ? JSON.stringify(json) : text}\n`);
   }
 }
 
 /**
- * Lays out rows in columns.
+ * Formats rows as aligned columns under a header.
  *
  * @example
  * formatTable(['instance', 'ready'], [['entry-1', 'yes']]);
  */
-export function formatTable(head: readonly string[], rows: readonly (readonly string[])[]): string {
-  const widths = head.map((title, column) =>
+export function formatTable(
+  header: readonly string[],
+  rows: readonly (readonly string[])[],
+): string {
+  const widths = header.map((title, column) =>
     Math.max(title.length, ...rows.map(row => row[column]?.length ?? 0)),
   );
-  const line = (cells: readonly string[]): string =>
+  const formatLine = (cells: readonly string[]): string =>
     cells
       .map((cell, column) => cell.padEnd(widths[column] ?? 0))
       .join('  ')
       .trimEnd();
-  return [line(head), ...rows.map(line)].join('\n');
+  return [formatLine(header), ...rows.map(formatLine)].join('\n');
 }
--- a/packages/control/src/controlSettings.ts
+++ b/packages/control/src/controlSettings.ts
@@ -13,13 +13,13 @@
 });
 const settingsSchema = z.strictObject({ platform: platformSchema });
 
-/** Where zincringctl finds the platform. */
+/** Settings of zincringctl: address and timeout of the platform. */
 export type ControlSettings = z.infer<typeof settingsSchema>;
 
 /**
- * Checks the settings of zincringctl, from a JSON file or from the command line.
+ * Validates the settings of zincringctl, which come from a JSON file or the command line.
  *
- * @returns the settings, or every problem with its JSON path
+ * @returns the settings, or all problems with their JSON paths
  * @example
  * parseControlSettings({ platform: { address: '127.0.0.1:4100' } });
  */
--- a/packages/control/src/finishChange.ts
+++ b/packages/control/src/finishChange.ts
@@ -2,23 +2,23 @@
 
 import type { ChangeOptions, ControlContext } from './context/controlContext.js';
 import type { ExitCode } from './exitCode.js';
-import type { InForceReport } from './waitInForce.js';
+import type { InForceReport } from './waitUntilInForce.js';
 
 import { exitCodes } from './exitCode.js';
 import { formatChange, formatDifference } from './storedRules.js';
-import { waitInForce } from './waitInForce.js';
+import { waitUntilInForce } from './waitUntilInForce.js';
 
-/** What a command tells beside the version. */
+/** Additions of a command to the report of an accepted change. */
 export interface ChangeReport {
-  /** What became of the change; told from the outcome where it is left out. */
+  /** State of the change; derived from the outcome if left out. */
   readonly state?: 'unchanged';
-  /** Fields for scripts. */
+  /** Additional fields of the JSON output. */
   readonly json: Readonly<Record<string, unknown>>;
-  /** Lines for people. */
+  /** Additional lines of the text output. */
   readonly lines: readonly string[];
 }
 
-/** Tells which changes were accepted first. */
+/** Reports the changes that were accepted first. */
 export function failConflict(
   context: ControlContext,
   conflict: Extract<ChangeOutcome, { readonly status: 'conflict' }>,
@@ -32,7 +32,7 @@
   return exitCodes.conflict;
 }
 
-/** Waits until an accepted change is in force, and tells how it went. */
+/** Waits until an accepted change is in force, if requested, and reports the result. */
 export async function finishChange(
   context: ControlContext,
   accepted: Extract<ChangeOutcome, { readonly status: 'accepted' }>,
@@ -40,33 +40,43 @@
   report: ChangeReport,
 ): Promise<ExitCode> {
   const { isRepeated, version } = accepted;
-  const waited =
+  const inForceReport =
     options.waitSeconds === 0
       ? undefined
-      : await waitInForce(context, version, options.waitSeconds);
-  const state = report.state ?? (isRepeated ? 'had been accepted before' : 'accepted');
+      : await waitUntilInForce(context, version, options.waitSeconds);
+  const state = report.state ?? (isRepeated ? 'was already accepted' : 'accepted');
   context.output.report({
     json: {
       ...report.json,
       changeId: options.changeId,
-      inForce: waited?.inForce,
+      inForce: inForceReport?.inForce,
       isRepeated,
-      lagging: waited?.lagging,
+      lagging: inForceReport?.lagging,
       status: report.state ?? 'accepted',
       version,
     },
-    text: [`version ${version} ${state}`, ...report.lines, ...describeWait(waited)].join('\n'),
+    text: [
+      `version ${version} ${state}`,
+      ...report.lines,
+      ...describeInForceReport(inForceReport),
+    ].join('\n'),
   });
-  const isInForce = waited === undefined || (waited.isListKnown && waited.lagging.length === 0);
+  const isInForce =
+    inForceReport === undefined ||
+    (inForceReport.wasDirectoryRead && inForceReport.lagging.length === 0);
   return isInForce ? exitCodes.done : exitCodes.notInForce;
 }
 
-function describeWait(waited: InForceReport | undefined): readonly string[] {
-  if (waited === undefined) {
+function describeInForceReport(inForceReport: InForceReport | undefined): readonly string[] {
+  if (inForceReport === undefined) {
     return [];
   }
-  const summary = `in force on ${waited.inForce.length} live instances`;
-  const list = waited.isListKnown ? [] : ["the platform's list of instances cannot be read"];
-  const lagging = waited.lagging.map(({ instance, reason }) => `not on ${instance}: ${reason}`);
-  return [summary, ...list, ...lagging];
+  const summary = `in force on ${inForceReport.inForce.length} live instances`;
+  const listFailure = inForceReport.wasDirectoryRead
+    ? []
+    : ["the platform's list of instances cannot be read"];
+  const laggingLines = inForceReport.lagging.map(
+    ({ instance, reason }) => `not on ${instance}: ${reason}`,
+  );
+  return [summary, ...listFailure, ...laggingLines];
 }
--- a/packages/control/src/storedRules.ts
+++ b/packages/control/src/storedRules.ts
@@ -7,13 +7,13 @@
 import { PlatformError } from '@zincring/platform';
 import { parseRuleLine, ruleKinds } from '@zincring/rules';
 
-/** The rules in the store. */
+/** Newest rules in the store. */
 export interface StoredRules {
   readonly head: Head;
   readonly lines: readonly string[];
 }
 
-/** Reads the newest rules. */
+/** Reads the newest rules from the store. */
 export async function readStoredRules(
   changes: VersionedChanges,
 ): Promise<Result<StoredRules, PlatformError>> {
@@ -26,11 +26,14 @@
     return update;
   }
   const { snapshot } = update.val;
-  // What was accepted since the head was read is left for the compare-and-set to tell.
-  const upToHead = update.val.changes.filter(change => change.version <= head.val.version);
-  const isTorn = snapshot !== undefined && snapshot.version > head.val.version;
-  const lines = applyChanges(new Set(snapshot?.lines ?? []), isTorn ? [] : upToHead);
-  if (isTorn || lines.err) {
+  // Changes accepted after the head was read are ignored; the compare-and-set detects them.
+  const changesUpToHead = update.val.changes.filter(change => change.version <= head.val.version);
+  const isSnapshotNewer = snapshot !== undefined && snapshot.version > head.val.version;
+  const lines = applyChanges(
+    new Set(snapshot?.lines ?? []),
+    isSnapshotNewer ? [] : changesUpToHead,
+  );
+  if (isSnapshotNewer || lines.err) {
     return Err(new PlatformError('unavailable', 'the rules changed while they were read'));
   }
   return Ok({ head: head.val, lines: [...lines.val] });
@@ -43,31 +46,31 @@
  * sortRuleLines(['workspace b …', 'key a …']); // ['key a …', 'workspace b …']
  */
 export function sortRuleLines(lines: readonly string[]): readonly string[] {
-  const placed = lines.map(line => ({
+  const rankedLines = lines.map(line => ({
     line,
-    place: placeOf(parseRuleLine(line, 1).unwrapOr(undefined)),
+    rank: findRank(parseRuleLine(line, 1).unwrapOr(undefined)),
   }));
-  return placed
+  return rankedLines
     .sort((left, right) =>
-      left.place === right.place
+      left.rank === right.rank
         ? Number(left.line > right.line) - Number(left.line < right.line)
-        : left.place - right.place,
+        : left.rank - right.rank,
     )
     .map(({ line }) => line);
 }
 
-function placeOf(rule: Rule | undefined): number {
+function findRank(rule: Rule | undefined): number {
   return rule === undefined ? ruleKinds.length : ruleKinds.indexOf(rule.kind);
 }
 
-/** A change as people read it in one line. */
+/** Formats a change as one line of text for people. */
 export function formatChange(change: Change): string {
   const time = new Date(change.at).toISOString();
   const size = `+${change.added.length} -${change.removed.length}`;
   return `${change.version}  ${time}  ${size}  ${change.requester}: ${change.reason}  (${change.changeId})`;
 }
 
-/** A difference as people read it, one line a rule. */
+/** Formats a difference as text for people, with one line per rule. */
 export function formatDifference(difference: {
   readonly added: readonly string[];
   readonly removed: readonly string[];
--- a/packages/control/src/waitInForce.ts
+++ b/packages/control/src/waitUntilInForce.ts
@@ -4,64 +4,65 @@
 
 import type { ControlContext } from './context/controlContext.js';
 
-/** An instance on which a version is not in force. */
+/** Instance on which a version is not in force. */
 export interface LaggingInstance {
   readonly instance: string;
-  /** Why, as far as it is known. */
+  /** Reason why the version is not in force, as far as it is known. */
   readonly reason: string;
 }
 
-/** On which instances a version is in force. */
+/** Instances on which a version is in force, and those on which it is not. */
 export interface InForceReport {
   readonly inForce: readonly string[];
   readonly lagging: readonly LaggingInstance[];
-  /** Whether the platform's list could be read; without it nothing is certain. */
-  readonly isListKnown: boolean;
+  /** Whether the last read of the directory succeeded; if not, the lists may be incomplete. */
+  readonly wasDirectoryRead: boolean;
 }
 
-const PAUSE_MILLISECONDS = 250;
-/** Instances asked at the same time. */
-const INSTANCES_AT_ONCE = 32;
+const POLL_INTERVAL_MILLISECONDS = 250;
+/** Number of instances that are queried concurrently. */
+const BATCH_SIZE = 32;
 
 /**
- * Waits until every live instance of the platform's list reports a version in force.
+ * Waits until every live instance in the platform's directory reports a version as in force, or
+ * until the time is up.
  *
  * @example
  * const report = await waitInForce(context, 12, 10);
  */
-export async function waitInForce(
+export async function waitUntilInForce(
   context: ControlContext,
   version: number,
   waitSeconds: number,
 ): Promise<InForceReport> {
-  const giveUpAt = context.timers.now() + waitSeconds * 1_000;
+  const deadline = context.timers.now() + waitSeconds * 1_000;
   const inForce = new Set<string>();
   for (;;) {
     const listed = await context.directory.list();
     const live = listed.ok ? listed.val.filter(isLiveInstance) : [];
-    const missing = live.filter(({ id }) => !inForce.has(id));
-    const lagging = await findLagging(context, missing, version);
-    const names = new Set(lagging.map(({ instance }) => instance));
-    missing.filter(({ id }) => !names.has(id)).forEach(({ id }) => inForce.add(id));
+    const pendingInstances = live.filter(({ id }) => !inForce.has(id));
+    const lagging = await findLaggingInstances(context, pendingInstances, version);
+    const laggingIds = new Set(lagging.map(({ instance }) => instance));
+    pendingInstances.filter(({ id }) => !laggingIds.has(id)).forEach(({ id }) => inForce.add(id));
     const isDone = listed.ok && lagging.length === 0;
-    if (isDone || context.timers.now() >= giveUpAt) {
-      return { inForce: [...inForce].sort(), isListKnown: listed.ok, lagging };
+    if (isDone || context.timers.now() >= deadline) {
+      return { inForce: [...inForce].sort(), wasDirectoryRead: listed.ok, lagging };
     }
-    await sleep(context.timers, PAUSE_MILLISECONDS);
+    await sleep(context.timers, POLL_INTERVAL_MILLISECONDS);
   }
 }
 
-/** Whether an entry of the platform's list is an instance that takes callers. */
+/** Whether a directory entry is an instance of zincring that accepts callers. */
 export function isLiveInstance(entry: DirectoryEntry): boolean {
   return entry.role.kind === 'entry' && entry.state === 'live';
 }
 
-async function findLagging(
+async function findLaggingInstances(
   context: ControlContext,
   instances: readonly DirectoryEntry[],
   version: number,
 ): Promise<readonly LaggingInstance[]> {
-  const lagging = await inBatches(instances, async ({ address, id }) =>
+  const lagging = await mapInBatches(instances, async ({ address, id }) =>
     describeLag(context, { address, id, version }),
   );
   return lagging.filter(each => each !== undefined);
@@ -71,7 +72,7 @@
   context: ControlContext,
   target: { readonly address: string; readonly id: string; readonly version: number },
 ): Promise<LaggingInstance | undefined> {
-  const status = await context.operators.at(target.address).status();
+  const status = await context.operators.clientFor(target.address).status();
   if (status.err) {
     return { instance: target.id, reason: `no answer: ${status.val}` };
   }
@@ -86,14 +87,14 @@
   return { instance: target.id, reason };
 }
 
-/** Does something for each item, a bounded number at a time. */
-export async function inBatches<Item, Outcome>(
+/** Applies an asynchronous function to all items, one batch of concurrent calls after another. */
+export async function mapInBatches<Item, Outcome>(
   items: readonly Item[],
   action: (item: Item) => Promise<Outcome>,
 ): Promise<readonly Outcome[]> {
   const outcomes: Outcome[] = [];
-  for (let start = 0; start < items.length; start += INSTANCES_AT_ONCE) {
-    const batch = items.slice(start, start + INSTANCES_AT_ONCE);
+  for (let start = 0; start < items.length; start += BATCH_SIZE) {
+    const batch = items.slice(start, start + BATCH_SIZE);
     outcomes.push(...(await Promise.all(batch.map(action))));
   }
   return outcomes;
--- a/packages/control/tests/commands.test.ts
+++ b/packages/control/tests/commands.test.ts
@@ -16,13 +16,13 @@
   show,
   status,
 } from '../src/index.js';
-import { ControlHarness, origin } from './controlHarness.js';
+import { ControlHarness, changeOptions } from './controlHarness.js';
 
 const rules = 'workspace utility rate=50 burst=100 # dana: pilot\nservice desk # omar: desk\n';
 
 function applyOptions(changes: Partial<ApplyOptions> = {}): ApplyOptions {
   return {
-    ...origin,
+    ...changeOptions,
     baseVersion: undefined,
     file: 'rules.txt',
     mayWithdrawKeys: false,
@@ -40,14 +40,14 @@
   return harness;
 }
 
-async function issue(harness: ControlHarness): Promise<string> {
-  const options = { ...origin, changeId: 'issue', name: 'clerk', workspace: 'utility' };
+async function issueKey(harness: ControlHarness): Promise<string> {
+  const options = { ...changeOptions, changeId: 'issue', name: 'clerk', workspace: 'utility' };
   const issued = await harness.run(async context => keysIssue(context, options), true);
   return (JSON.parse(issued.standard) as { readonly key: string }).key;
 }
 
 describe('check', () => {
-  it('tells every error with its line and exits with 2', async () => {
+  it('reports every error with its line and exits with 2', async () => {
     const harness = new ControlHarness();
     harness.files.set('bad.txt', 'workspcae a # b: c\nservice s\n');
     const result = await harness.run(async context => check(context, { file: 'bad.txt' }));
@@ -58,7 +58,7 @@
 });
 
 describe('apply', () => {
-  it('applies nothing unless all of the file is valid', async () => {
+  it('applies nothing unless the whole file is valid', async () => {
     const harness = await setUp();
     harness.files.set('rules.txt', `${rules}service s timeout=x # a: b\n`);
     const result = await harness.run(async context => apply(context, applyOptions()));
@@ -72,13 +72,13 @@
     { requester: 'a:b' },
     { reason: 'a\u001bb' },
     { changeId: 'a/b' },
-  ])('refuses %j', async changes => {
+  ])('rejects the options %j', async changes => {
     const harness = await setUp();
     const result = await harness.run(async context => apply(context, applyOptions(changes)));
     expect(result.exitCode).toBe(exitCodes.invalid);
   });
 
-  it('tells the loser of a race what changed', async () => {
+  it('reports the accepted change to the loser of two concurrent changes', async () => {
     const harness = await setUp();
     harness.files.set('mine.txt', `# version 1\n${rules}service mine # a: b\n`);
     harness.files.set('theirs.txt', `# version 1\n${rules}service theirs # a: b\n`);
@@ -99,23 +99,23 @@
     expect(loser?.errors).toContain('dana: pilot contract');
   });
 
-  it('is applied once when it is asked for again after lost answers', async () => {
+  it('applies a change once if it is repeated after lost responses', async () => {
     const harness = await setUp();
     harness.files.set('rules.txt', `${rules}service more # a: b\n`);
     harness.faults.set({ lostAnswers: 10 });
     const options = applyOptions({ changeId: 'again' });
-    const unknown = await harness.run(async context => apply(context, options));
-    expect(unknown.exitCode).toBe(exitCodes.unavailable);
-    expect(unknown.errors).toContain('--change-id again');
+    const firstResult = await harness.run(async context => apply(context, options));
+    expect(firstResult.exitCode).toBe(exitCodes.unavailable);
+    expect(firstResult.errors).toContain('--change-id again');
     harness.faults.set({ lostAnswers: 0 });
-    const again = await harness.run(async context => apply(context, options));
-    expect(again.exitCode).toBe(exitCodes.done);
+    const repeatedResult = await harness.run(async context => apply(context, options));
+    expect(repeatedResult.exitCode).toBe(exitCodes.done);
     expect((await harness.run(show)).standard).toContain('# version 2');
   });
 
-  it('withdraws keys that the file leaves out only when told to', async () => {
+  it('withdraws keys that are missing from the file only with the option for it', async () => {
     const harness = await setUp();
-    await issue(harness);
+    await issueKey(harness);
     const refused = await harness.run(async context => apply(context, applyOptions()));
     expect([refused.exitCode, refused.errors]).toEqual([
       exitCodes.invalid,
@@ -126,13 +126,13 @@
     expect(applied.exitCode).toBe(exitCodes.done);
   });
 
-  it('waits a bounded time for live instances, and tells which lag and why', async () => {
+  it('waits a bounded time for live instances and reports which ones lag and why', async () => {
     const harness = await setUp();
     harness.instances.push(
       { id: 'entry-1', version: 9 },
       { id: 'entry-2', version: 1 },
-      { blocked: 2, id: 'entry-3', version: 1 },
-      { id: 'entry-4', isSilent: true, version: 1 },
+      { blockedVersion: 2, id: 'entry-3', version: 1 },
+      { id: 'entry-4', isUnreachable: true, version: 1 },
       { id: 'entry-5', state: 'leaving', version: 1 },
     );
     harness.files.set('rules.txt', `${rules}service more # a: b\n`);
@@ -150,20 +150,22 @@
     });
     harness.timers.after(1_000, () => {
       harness.instances.forEach(instance => {
-        Object.assign(instance, { isSilent: false, version: 3 });
+        Object.assign(instance, { isUnreachable: false, version: 3 });
       });
     });
     harness.files.set('rules.txt', rules);
-    const later = await harness.run(async context => apply(context, { ...options, changeId: 'c' }));
-    expect([later.exitCode, later.standard]).toEqual([
+    const laterResult = await harness.run(async context =>
+      apply(context, { ...options, changeId: 'c' }),
+    );
+    expect([laterResult.exitCode, laterResult.standard]).toEqual([
       exitCodes.done,
-      'version 3 accepted\n0 rules put in, 1 taken out\nin force on 4 live instances\n',
+      'version 3 accepted\n0 rules added, 1 removed\nin force on 4 live instances\n',
     ]);
   });
 });
 
 describe('diff and show', () => {
-  it('shows what applying would change, and a file that applies without a change', async () => {
+  it('shows what a file would change, and writes a file that changes nothing', async () => {
     const harness = await setUp();
     harness.files.set('new.txt', rules.replace('rate=50', 'rate=60'));
     const result = await harness.run(async context => diff(context, { file: 'new.txt' }));
@@ -171,55 +173,72 @@
       '- workspace utility rate=50 burst=100 # dana: pilot\n+ workspace utility rate=60 burst=100 # dana: pilot\n',
     );
     harness.files.set('shown.txt', (await harness.run(show)).standard);
-    const same = await harness.run(async context => diff(context, { file: 'shown.txt' }), true);
-    expect(JSON.parse(same.standard)).toEqual({ added: [], removed: [], version: 1 });
+    const unchangedResult = await harness.run(
+      async context => diff(context, { file: 'shown.txt' }),
+      true,
+    );
+    expect(JSON.parse(unchangedResult.standard)).toEqual({ added: [], removed: [], version: 1 });
   });
 });
 
 describe('keys', () => {
-  it('shows an issued key once and keeps its hash alone', async () => {
+  it('shows an issued key once and stores only its hash', async () => {
     const harness = await setUp();
-    const key = await issue(harness);
+    const key = await issueKey(harness);
     expect(key).toMatch(/^zincring-[A-Za-z0-9_-]{43}$/);
     const stored = JSON.stringify(harness.table.scan({ limit: 100, prefix: '' }));
     expect(stored).not.toContain(key);
     expect((await harness.run(show)).standard).toContain(
       `hash=${hashKey(key)} # dana: pilot contract`,
     );
-    const again = { ...origin, changeId: 'issue', name: 'clerk-2', workspace: 'utility' };
-    const repeated = await harness.run(async context => keysIssue(context, again));
+    const repeatedOptions = {
+      ...changeOptions,
+      changeId: 'issue',
+      name: 'clerk-2',
+      workspace: 'utility',
+    };
+    const repeated = await harness.run(async context => keysIssue(context, repeatedOptions));
     expect([repeated.exitCode, repeated.standard]).toEqual([exitCodes.invalid, '']);
   });
 
-  it('issues and withdraws beside other changes, each with its audit row', async () => {
+  it('issues and withdraws keys during concurrent changes and records each in the audit log', async () => {
     const harness = await setUp();
-    await issue(harness);
-    const other = { ...origin, changeId: 'left', name: 'clerk', reason: 'left the office' };
+    await issueKey(harness);
+    const withdrawOptions = {
+      ...changeOptions,
+      changeId: 'left',
+      name: 'clerk',
+      reason: 'left the office',
+    };
     harness.files.set(
       'bigger.txt',
       `# version 2\n${(await harness.run(show)).standard}service x # a: b\n`,
     );
     const [withdrawn, applied] = await Promise.all([
-      harness.run(async context => keysWithdraw(context, other)),
+      harness.run(async context => keysWithdraw(context, withdrawOptions)),
       harness.run(async context => apply(context, applyOptions({ file: 'bigger.txt' }))),
     ]);
     expect(withdrawn.exitCode).toBe(exitCodes.done);
     expect(harness.table.commits).toBe(applied.exitCode === exitCodes.done ? 4 : 3);
     expect((await harness.run(show)).standard).not.toContain('key clerk');
-    const log = await harness.run(async context =>
-      audit(context, { after: 0, hasLines: true, limit: 9 }),
+    const auditLog = await harness.run(async context =>
+      audit(context, { after: 0, includesLines: true, limit: 9 }),
     );
-    expect(log.standard).toMatch(/dana: left the office {2}\(left\)\n- key clerk/);
-    const again = await harness.run(async context => keysWithdraw(context, other));
-    expect(again.exitCode).toBe(exitCodes.done);
-    const unknown = { ...other, changeId: 'unknown' };
-    const missing = await harness.run(async context => keysWithdraw(context, unknown));
-    expect(missing.exitCode).toBe(exitCodes.notFound);
+    expect(auditLog.standard).toMatch(/dana: left the office {2}\(left\)\n- key clerk/);
+    const repeatedResult = await harness.run(async context =>
+      keysWithdraw(context, withdrawOptions),
+    );
+    expect(repeatedResult.exitCode).toBe(exitCodes.done);
+    const newChangeOptions = { ...withdrawOptions, changeId: 'unknown' };
+    const missingResult = await harness.run(async context =>
+      keysWithdraw(context, newChangeOptions),
+    );
+    expect(missingResult.exitCode).toBe(exitCodes.notFound);
   });
 
-  it('refuses a key of a workspace that is not there', async () => {
+  it('rejects a key of a workspace that does not exist', async () => {
     const harness = await setUp();
-    const options = { ...origin, name: 'clerk', workspace: 'utilty' };
+    const options = { ...changeOptions, name: 'clerk', workspace: 'utilty' };
     const result = await harness.run(async context => keysIssue(context, options));
     expect(result.exitCode).toBe(exitCodes.invalid);
     expect(result.errors).toContain('did you mean "utility"?');
@@ -227,11 +246,11 @@
 });
 
 describe('status and programs show', () => {
-  it('asks every instance, and tells which gave no answer', async () => {
+  it('queries every instance and reports which did not respond', async () => {
     const harness = await setUp();
     harness.instances.push(
       { id: 'entry-1', version: 1 },
-      { id: 'entry-2', isSilent: true, version: 1 },
+      { id: 'entry-2', isUnreachable: true, version: 1 },
     );
     const text = (await harness.run(status)).standard;
     expect(text).toContain('version in the store: 1');
@@ -255,11 +274,13 @@
     );
     const found = await harness.run(async context => programsShow(context, { program: 'p' }));
     expect(found.standard).toContain('holder: entry-2');
-    const missing = await harness.run(async context => programsShow(context, { program: 'q' }));
-    expect(missing.exitCode).toBe(exitCodes.notFound);
+    const missingResult = await harness.run(async context =>
+      programsShow(context, { program: 'q' }),
+    );
+    expect(missingResult.exitCode).toBe(exitCodes.notFound);
   });
 
-  it('exits with 4 when the platform is out', async () => {
+  it('exits with 4 if the platform is unavailable', async () => {
     const harness = await setUp();
     harness.faults.set({ outage: 'refuse' });
     const results = await Promise.all([status, show].map(async command => harness.run(command)));
@@ -278,7 +299,7 @@
       { platform: { address: 'x' } },
       '$.platform.address: expected an IP number and a port, 127.0.0.1:4100',
     ],
-  ])('refuses %j', (value, problem) => {
+  ])('rejects the settings %j', (value, problem) => {
     const parsed = parseControlSettings(value);
     expect(parsed.err && parsed.val).toEqual([problem]);
   });
--- a/packages/control/tests/controlHarness.ts
+++ b/packages/control/tests/controlHarness.ts
@@ -20,33 +20,33 @@
 
 import { Output } from '../src/index.js';
 
-/** An instance that zincringctl may ask. */
+/** Simulated instance that zincringctl can query. */
 export interface FakeInstance {
   readonly id: string;
   version: number;
-  /** Version that it cannot take up; 0 for none. */
-  blocked?: number;
-  isSilent?: boolean;
+  /** Version that the instance cannot apply; 0 for none. */
+  blockedVersion?: number;
+  isUnreachable?: boolean;
   state?: 'leaving' | 'live';
-  /** Program whose home it is. */
+  /** Program whose home is this instance. */
   program?: string;
 }
 
-/** What a command did. */
+/** Exit code and output of a command. */
 export interface CommandResult {
   readonly exitCode: ExitCode;
   readonly standard: string;
   readonly errors: string;
 }
 
-export const origin = {
+export const changeOptions = {
   changeId: 'change-1',
   reason: 'pilot contract',
   requester: 'dana',
   waitSeconds: 0,
 };
 
-/** zincringctl without processes: a store in memory, fake instances, files in a map. */
+/** Runs commands of zincringctl in process, with in-memory store and files and fake instances. */
 export class ControlHarness {
   public readonly timers = new ManualTimerService();
   public readonly table = new MemoryTable();
@@ -55,7 +55,7 @@
   public readonly instances: FakeInstance[] = [];
   private readonly objects = new MemoryObjects();
 
-  /** Runs a command, moving time as far as it needs. */
+  /** Runs a command while advancing the manual clock. */
   public async run(
     command: (context: ControlContext) => Promise<ExitCode>,
     isJson = false,
@@ -74,7 +74,7 @@
     return { errors: errors.join(''), exitCode, standard: standard.join('') };
   }
 
-  /** A view of the store with faults of its own. */
+  /** Creates a client of the configuration store with the given fault injection. */
   public changes(faults = new FaultSwitch(this.timers)): VersionedChanges {
     return new VersionedChanges({
       name: 'configuration',
@@ -93,7 +93,7 @@
     return {
       changes: this.changes(this.faults),
       directory,
-      operators: { at: address => this.clientOf(address), close: () => undefined },
+      operators: { clientFor: address => this.createClient(address), close: () => undefined },
       output,
       randomBytes: count => Buffer.alloc(count, 7),
       readFile: async path => {
@@ -106,14 +106,14 @@
     };
   }
 
-  private clientOf(address: string): OperatorClient {
+  private createClient(address: string): OperatorClient {
     const instance = this.instances.find(({ id }) => id === address)!;
-    const answer = async <Value>(value: Value): ReturnType<typeof settled<Value>> =>
-      settled(value, instance.isSilent === true);
+    const respond = async <Value>(value: Value): ReturnType<typeof createResult<Value>> =>
+      createResult(value, instance.isUnreachable === true);
     return {
-      readConfiguration: async () => answer(create(ReadConfigurationResponseSchema, {})),
+      readConfiguration: async () => respond(create(ReadConfigurationResponseSchema, {})),
       showProgram: async program =>
-        answer(
+        respond(
           create(ShowProgramResponseSchema, {
             found: instance.program === program,
             holder: instance.id,
@@ -121,10 +121,10 @@
           }),
         ),
       status: async () =>
-        answer(
+        respond(
           create(StatusResponseSchema, {
             blockedReason: 'unknown setting',
-            blockedVersion: BigInt(instance.blocked ?? 0),
+            blockedVersion: BigInt(instance.blockedVersion ?? 0),
             configurationVersion: BigInt(instance.version),
             instance: instance.id,
             limits: [{ granted: 5n, refused: 1n, tokens: 2, workspace: 'utility' }],
@@ -139,9 +139,9 @@
   }
 }
 
-async function settled<Value>(
+async function createResult<Value>(
   value: Value,
-  isSilent: boolean,
+  isUnreachable: boolean,
 ): Promise<ReturnType<typeof Ok<Value>> | ReturnType<typeof Err<string>>> {
-  return await Promise.resolve(isSilent ? Err('connection refused') : Ok(value));
+  return await Promise.resolve(isUnreachable ? Err('connection refused') : Ok(value));
 }
--- a/packages/control/tests/cuttableProxy.ts
+++ b/packages/control/tests/cuttableProxy.ts
@@ -2,60 +2,63 @@
 
 import { connect, createServer } from 'node:net';
 
-/** A way to a TCP server that a test can cut. While it is cut, connections hang without an answer. */
+/**
+ * TCP proxy that a test can cut off from its target. While it is cut off, it accepts connections but
+ * never responds.
+ */
 export class CuttableProxy {
   private readonly sockets = new Set<Socket>();
   private isCut = false;
 
   private constructor(private readonly server: Server) {}
 
-  /** IP number and port. */
+  /** IP address and port on which the proxy listens. */
   public get address(): string {
     const bound = this.server.address();
     return `127.0.0.1:${typeof bound === 'object' && bound !== null ? bound.port : 0}`;
   }
 
-  /** Listens, and passes everything on to an address. */
-  public static async to(address: string): Promise<CuttableProxy> {
+  /** Starts a proxy that forwards all connections to an address. */
+  public static async start(address: string): Promise<CuttableProxy> {
     const [host, port] = address.split(':');
     const server = createServer();
     const proxy = new CuttableProxy(server);
     server.on('connection', incoming => {
-      proxy.keep(incoming);
+      proxy.trackSocket(incoming);
       if (proxy.isCut) {
         return;
       }
       const outgoing = connect(Number(port), host);
-      proxy.keep(outgoing);
+      proxy.trackSocket(outgoing);
       incoming.pipe(outgoing).pipe(incoming);
     });
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
     return proxy;
   }
 
-  /** Cuts the way: open connections end, new ones hang. */
+  /** Closes open connections and leaves new ones without a response. */
   public cut(): void {
     this.isCut = true;
-    this.endConnections();
+    this.destroySockets();
   }
 
-  /** Opens the way again. */
+  /** Forwards new connections again. */
   public heal(): void {
     this.isCut = false;
-    this.endConnections();
+    this.destroySockets();
   }
 
-  /** Stops listening. */
+  /** Stops listening and closes all connections. */
   public close(): void {
     this.server.close();
-    this.endConnections();
+    this.destroySockets();
   }
 
-  private endConnections(): void {
+  private destroySockets(): void {
     this.sockets.forEach(socket => socket.destroy());
   }
 
-  private keep(socket: Socket): void {
+  private trackSocket(socket: Socket): void {
     this.sockets.add(socket);
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.sockets.delete(socket));
