--- a/packages/instance/src/programs/branchState.ts
+++ b/packages/instance/src/programs/branchState.ts
@@ -5,13 +5,13 @@
 import type { TurnRecord } from './programRecord.js';
 
 /**
- * One line of turns with a chain of digests of its own: the program itself, or what the sub-agents
- * of one call do.
+ * A sequence of turns with its own chain of digests: the branch of the program itself, or the
+ * branch of the sub-agents of one call.
  */
 export class BranchState {
   private readonly turns: TurnRecord[] = [];
   private headDigest: HistoryDigest;
-  /** Number of the last turn known to be durable. */
+  /** Number of the last turn that is known to be durable. */
   public durableTurn = 0;
 
   public constructor(program: ProgramId, parentCall: CallId | null) {
@@ -19,42 +19,43 @@
     this.headDigest = emptyHistoryDigest(origin);
   }
 
-  /** Number of the last turn. */
+  /** Number of the last turn; 0 if there is none. */
   public get turn(): number {
     return this.turns.length;
   }
 
-  /** Every turn, oldest first. */
+  /** All turns, oldest first. */
   public get history(): readonly TurnRecord[] {
     return this.turns;
   }
 
-  /** Digest of the whole history. */
+  /** Digest of the complete history. */
   public get digest(): HistoryDigest {
     return this.headDigest;
   }
 
-  /** Where a caller can go on. */
+  /** Position from which a caller can continue. */
   public get resumePoint(): ResumePoint {
     return { digest: this.headDigest, durableTurn: this.durableTurn, turn: this.turn };
   }
 
-  /** Digest that the history would have after one more turn. */
-  public nextDigest(request: string, answer: string): HistoryDigest {
+  /** Computes the digest that the history would have after one more turn. */
+  public computeNextDigest(request: string, answer: string): HistoryDigest {
     return extendHistoryDigest(this.headDigest, `${request}\n${answer}`);
   }
 
   /**
-   * Adds a turn; throws when it does not extend the chain.
+   * Appends a turn; throws if it does not extend the chain of digests.
    *
-   * @returns `false` for a turn that is there already, as a snapshot may hold what the log repeats
+   * @returns `false` if the turn is already present: a snapshot may contain turns that the log
+   * repeats
    */
   public extend(record: TurnRecord): boolean {
     if (this.turns[record.turn - 1]?.digest === record.digest) {
       return false;
     }
     const isNext = record.turn === this.turn + 1;
-    if (!isNext || record.digest !== this.nextDigest(record.request, record.answer)) {
+    if (!isNext || record.digest !== this.computeNextDigest(record.request, record.answer)) {
       throw new Error(`turn ${record.turn} does not extend the history of the program`);
     }
     this.turns.push(record);
--- a/packages/instance/src/programs/callMailboxes.ts
+++ b/packages/instance/src/programs/callMailboxes.ts
@@ -11,107 +11,107 @@
 
 import type { RunningCall } from './runningCall.js';
 
-/** What mailboxes need. */
+/** Options of {@link CallMailboxes}. */
 export interface CallMailboxesOptions {
   readonly logger: Logger;
   readonly timers: TimerService;
-  /** Most calls of one branch that wait. */
+  /** Maximum number of waiting calls of one branch. */
   readonly maximumMailbox: number;
 }
 
-/** Runs one call to its end. */
-export type RunCall = (running: RunningCall) => Promise<void>;
+/** Runs one call until it has finished. */
+export type RunCall = (runningCall: RunningCall) => Promise<void>;
 
 /**
- * The calls of the programs of one shard that wait or run. Each branch of a program has a mailbox:
- * its calls run one after the other, beside those of other branches.
+ * The queued and running calls of the programs of one shard. Each branch of a program has a
+ * mailbox: its calls run one after the other, concurrently with those of other branches.
  */
 export class CallMailboxes {
-  private readonly queues = new Map<string, Channel<RunningCall>>();
+  private readonly mailboxes = new Map<string, Channel<RunningCall>>();
   private readonly calls = new Map<string, RunningCall>();
-  private readonly timeouts = new Map<RunningCall, TimerSubscription>();
+  private readonly queueTimeouts = new Map<RunningCall, TimerSubscription>();
 
   public constructor(private readonly options: CallMailboxesOptions) {}
 
-  /** Number of mailboxes with calls. */
+  /** Number of mailboxes that have calls. */
   public get size(): number {
-    return this.queues.size;
+    return this.mailboxes.size;
   }
 
-  /** Finds a call that waits or runs. */
-  public find(program: ProgramId, call: CallId): RunningCall | undefined {
-    return this.calls.get(callKey(program, call));
+  /** Finds a queued or running call. */
+  public findCall(program: ProgramId, call: CallId): RunningCall | undefined {
+    return this.calls.get(formatKey(program, call));
   }
 
-  /** Whether calls of a program wait or run. */
+  /** Whether any call of a program is queued or running. */
   public isBusy(program: ProgramId): boolean {
-    return [...this.calls.values()].some(running => running.request.program === program);
+    return [...this.calls.values()].some(runningCall => runningCall.request.program === program);
   }
 
   /** Puts a call into the mailbox of its branch. */
-  public enqueue(running: RunningCall, run: RunCall): Result<void, ZincringError> {
-    const { call, parentCall, program, timeoutMilliseconds } = running.request;
-    const key = callKey(program, parentCall ?? '');
-    const queue = this.queues.get(key) ?? this.openMailbox(key, run);
-    if (!queue.offer(running)) {
+  public enqueue(runningCall: RunningCall, run: RunCall): Result<void, ZincringError> {
+    const { call, parentCall, program, timeoutMilliseconds } = runningCall.request;
+    const branchKey = formatKey(program, parentCall ?? '');
+    const mailbox = this.mailboxes.get(branchKey) ?? this.openMailbox(branchKey, run);
+    if (!mailbox.offer(runningCall)) {
       return Err(new ZincringError('mailbox-full'));
     }
-    this.calls.set(callKey(program, call), running);
-    const timeout = this.options.timers.after(timeoutMilliseconds, () => {
-      running.refuseQueued(new ZincringError('deadline-exceeded-in-queue'));
+    this.calls.set(formatKey(program, call), runningCall);
+    const queueTimeout = this.options.timers.after(timeoutMilliseconds, () => {
+      runningCall.refuseIfQueued(new ZincringError('deadline-exceeded-in-queue'));
     });
-    this.timeouts.set(running, timeout);
+    this.queueTimeouts.set(runningCall, queueTimeout);
     return Ok(undefined);
   }
 
-  /** Refuses what waits and lets what runs come to its end. */
+  /** Refuses the queued calls and waits until the running ones have finished. */
   public async close(): Promise<void> {
     const calls = [...this.calls.values()];
-    for (const running of calls) {
-      running.refuseQueued(new ZincringError('shard-unavailable'));
+    for (const runningCall of calls) {
+      runningCall.refuseIfQueued(new ZincringError('shard-unavailable'));
     }
-    await Promise.all(calls.map(async running => running.ended()));
+    await Promise.all(calls.map(async runningCall => runningCall.waitForEnd()));
   }
 
-  /** Ends everything at once. */
-  public drop(): void {
-    for (const running of this.calls.values()) {
-      running.interrupt();
+  /** Interrupts all queued and running calls immediately. */
+  public interruptAll(): void {
+    for (const runningCall of this.calls.values()) {
+      runningCall.interrupt();
     }
   }
 
-  private openMailbox(key: string, run: RunCall): Channel<RunningCall> {
-    const queue = new Channel<RunningCall>(this.options.maximumMailbox);
-    this.queues.set(key, queue);
-    const { calls, queues, timeouts } = this;
+  private openMailbox(branchKey: string, run: RunCall): Channel<RunningCall> {
+    const mailbox = new Channel<RunningCall>(this.options.maximumMailbox);
+    this.mailboxes.set(branchKey, mailbox);
+    const { calls, mailboxes, queueTimeouts } = this;
     startProcess(
       function* runCalls() {
-        while (queues.get(key) === queue) {
-          const running = yield* queue.receive();
-          if (running === undefined) {
+        while (mailboxes.get(branchKey) === mailbox) {
+          const runningCall = yield* mailbox.receive();
+          if (runningCall === undefined) {
             return;
           }
-          timeouts.get(running)?.stop();
-          timeouts.delete(running);
-          if (running.begin()) {
-            yield* settle(run(running));
+          queueTimeouts.get(runningCall)?.stop();
+          queueTimeouts.delete(runningCall);
+          if (runningCall.start()) {
+            yield* settle(run(runningCall));
           }
-          const { call, program } = running.request;
-          calls.delete(callKey(program, call));
-          if (queue.size === 0) {
-            queues.delete(key);
+          const { call, program } = runningCall.request;
+          calls.delete(formatKey(program, call));
+          if (mailbox.size === 0) {
+            mailboxes.delete(branchKey);
           }
         }
       },
       failure => {
         this.options.logger.error({ failure: failureText(failure) }, 'mailbox failed');
-        this.queues.delete(key);
+        this.mailboxes.delete(branchKey);
       },
     );
-    return queue;
+    return mailbox;
   }
 }
 
-function callKey(program: ProgramId, call: string): string {
+function formatKey(program: ProgramId, call: string): string {
   return `${program}/${call}`;
 }
--- a/packages/instance/src/programs/callPayload.ts
+++ b/packages/instance/src/programs/callPayload.ts
@@ -8,22 +8,22 @@
 
 import { isSafeMethod } from '../util/isSafeMethod.js';
 
-/** Characters of a prompt that make at least one token of the engines, at most. */
+/** Assumed minimum number of characters per engine token; bounds the tokens of a prompt. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Whether a call may be sent again after a failure. */
+/** Whether a call may be sent to an upstream again after a failure. */
 export function isIdempotentCall(request: CallRequest, rule: ServiceRule): boolean {
   return rule.protocol === 'engine' || rule.idempotent || isSafeMethod(request.method);
 }
 
-/** Digest of all that makes a call what it is, by which a resend is told from another request. */
+/** Computes the digest of a request, which distinguishes a resend from a different request. */
 export function digestRequest(request: CallRequest): string {
   const { maxTokens, method, parentCall, path, service, turn } = request;
-  const head = JSON.stringify([service, method, path, maxTokens, parentCall ?? null, turn]);
-  return sha256Hex(Buffer.concat([Buffer.from(`${head}\n`), request.body]));
+  const fieldsJson = JSON.stringify([service, method, path, maxTokens, parentCall ?? null, turn]);
+  return sha256Hex(Buffer.concat([Buffer.from(`${fieldsJson}\n`), request.body]));
 }
 
-/** The prompt or request that goes to the upstream. */
+/** Creates the prompt or request that is sent to the upstream. */
 export function createPayload(
   request: CallRequest,
   state: ProgramState,
@@ -33,7 +33,7 @@
     return {
       maxTokens: request.maxTokens,
       protocol: 'engine',
-      segments: segmentsOf(request, state),
+      segments: createPromptSegments(request, state),
     };
   }
   return {
@@ -45,19 +45,26 @@
   };
 }
 
-/** Most tokens that a call can use: those of its prompt by length, and those of its answer. */
-export function tokenBound(request: CallRequest, state: ProgramState, rule: ServiceRule): number {
+/**
+ * Computes the maximum number of tokens that a call can use: those of its prompt, bounded by
+ * its length, and those of its answer.
+ */
+export function computeMaximumTokens(
+  request: CallRequest,
+  state: ProgramState,
+  rule: ServiceRule,
+): number {
   if (rule.protocol !== 'engine') {
     return 0;
   }
-  return segmentsOf(request, state).reduce(
+  return createPromptSegments(request, state).reduce(
     (sum, segment) => sum + Math.ceil(segment.length / CHARACTERS_PER_TOKEN),
     request.maxTokens,
   );
 }
 
-function segmentsOf(request: CallRequest, state: ProgramState): readonly string[] {
-  const { history } = state.branch(request.parentCall ?? null);
+function createPromptSegments(request: CallRequest, state: ProgramState): readonly string[] {
+  const { history } = state.getBranch(request.parentCall ?? null);
   return [
     ...history.flatMap(turn => [turn.request, turn.answer]),
     Buffer.from(request.body).toString('utf8'),
--- a/packages/instance/src/programs/callRunner.ts
+++ b/packages/instance/src/programs/callRunner.ts
@@ -10,113 +10,125 @@
 import type { TurnRecord } from './programRecord.js';
 import type { RunningCall } from './runningCall.js';
 
-import { createPayload, isIdempotentCall, tokenBound } from './callPayload.js';
-import { untilAborted } from './untilAborted.js';
+import { createPayload, isIdempotentCall, computeMaximumTokens } from './callPayload.js';
+import { iterateUntilAborted } from './iterateUntilAborted.js';
 
-/** What running calls needs. */
+/** Options of a {@link CallRunner}. */
 export interface CallRunnerOptions {
   readonly dispatcher: UpstreamDispatcher;
   readonly timers: TimerService;
 }
 
-/** The rules in force when a call starts to run. */
+/** Rules in force when a call starts to run. */
 export interface CallRules {
-  /** The rule that binds the program; `undefined` when it has been withdrawn. */
+  /** Rule of the program; `undefined` if it has been removed from the configuration. */
   readonly program: ProgramRule | undefined;
+  /** Rule of the called service; `undefined` if there is none. */
   readonly service: ServiceRule | undefined;
 }
 
-/** One call on its way. */
+/** State of one call while it runs. */
 interface CallContext {
-  readonly running: RunningCall;
-  readonly home: HomeShard;
+  readonly runningCall: RunningCall;
+  readonly homeShard: HomeShard;
   readonly state: ProgramState;
   readonly rule: ServiceRule;
   readonly isIdempotent: boolean;
-  /** Whether something may have been sent. */
-  mayBeSent: boolean;
+  /** Whether a request may have been sent to an upstream. */
+  mayHaveBeenSent: boolean;
 }
 
-/** What an upstream answered. */
+/** Status and usage of an upstream's answer. */
 interface UpstreamAnswer {
   readonly usage: CallUsage;
   readonly status: number;
 }
 
-const RESERVATION_ATTEMPTS = 4;
+const MAXIMUM_RESERVATION_ATTEMPTS = 4;
 
-/** Runs one call of a program: checks, budget, upstream, turn. */
+/**
+ * Runs the calls of programs: checks a call, reserves its tokens, sends it to an upstream and
+ * stores the resulting turn.
+ */
 export class CallRunner {
   public constructor(private readonly options: CallRunnerOptions) {}
 
-  /** Runs a call to its end; every outcome goes to `running`. */
+  /** Runs a call until it has finished; every outcome is reported through `runningCall`. */
   public async run(
-    running: RunningCall,
-    home: HomeShard,
+    runningCall: RunningCall,
+    homeShard: HomeShard,
     state: ProgramState,
     rules: CallRules,
   ): Promise<void> {
-    const { call, program } = running.request;
-    const timeout = this.options.timers.after(findTimeout(running, home, state, rules), () => {
-      running.abort(new ZincringError('deadline-exceeded'));
-    });
+    const { call, program } = runningCall.request;
+    const timeout = this.options.timers.after(
+      computeTimeoutMilliseconds(runningCall, homeShard, state, rules),
+      () => {
+        runningCall.abort(new ZincringError('deadline-exceeded'));
+      },
+    );
     try {
-      const rule = checkRules(running, rules);
-      const isIdempotent = isIdempotentCall(running.request, rule);
-      const context = { home, isIdempotent, mayBeSent: false, rule, running, state };
+      const rule = checkRules(runningCall, rules);
+      const isIdempotent = isIdempotentCall(runningCall.request, rule);
+      const context = { homeShard, isIdempotent, mayHaveBeenSent: false, rule, runningCall, state };
       checkState(context);
       state.startCall(call);
-      await this.reserve(context);
-      await this.takeTurn(context, await this.send(context));
+      await this.reserveTokens(context);
+      await this.storeTurn(context, await this.sendToUpstream(context));
     } catch (failure) {
-      running.finish({ error: toZincringError(failure), kind: 'failed' });
+      runningCall.finish({ error: toZincringError(failure), kind: 'failed' });
     } finally {
       timeout.stop();
       state.finishCall(call);
-      const known = home.programs.find(program);
-      if (known !== undefined) {
-        home.programs.touch(known);
+      const knownState = homeShard.programs.find(program);
+      if (knownState !== undefined) {
+        homeShard.programs.recordUse(knownState);
       }
     }
   }
 
-  /** Reserves the upper bound of what the call can use, in the log as well where that is needed. */
-  private async reserve({ home, rule, running, state }: CallContext): Promise<void> {
-    const { call, program } = running.request;
-    const tokens = tokenBound(running.request, state, rule);
-    for (let attempt = 0; attempt < RESERVATION_ATTEMPTS; attempt++) {
+  /**
+   * Reserves the maximum number of tokens that the call can use. If they exceed the durable
+   * allowance, a larger allowance is written to the log first.
+   */
+  private async reserveTokens({ homeShard, rule, runningCall, state }: CallContext): Promise<void> {
+    const { call, program } = runningCall.request;
+    const tokens = computeMaximumTokens(runningCall.request, state, rule);
+    for (let attempt = 0; attempt < MAXIMUM_RESERVATION_ATTEMPTS; attempt++) {
       switch (state.budget.reserve(call, tokens)) {
         case 'reserved':
           return;
         case 'exhausted':
-          throw new ZincringError('budget-exhausted', { resume: resumePoint(running, state) });
+          throw new ZincringError('budget-exhausted', {
+            resume: getResumePoint(runningCall, state),
+          });
         case 'beyond-allowance':
           break;
       }
-      const allowance = state.budget.allowanceFor(tokens);
-      const granted = await home.writeDurably({ allowance, program, type: 'reserved' });
-      if (granted.err) {
+      const allowance = state.budget.computeAllowanceFor(tokens);
+      const writeResult = await homeShard.writeDurably({ allowance, program, type: 'reserved' });
+      if (writeResult.err) {
         throw new ZincringError('store-unavailable', { ran: 'no' });
       }
     }
     throw new ZincringError('store-unavailable', { ran: 'no' });
   }
 
-  private async send(context: CallContext): Promise<UpstreamAnswer> {
-    const { running } = context;
+  private async sendToUpstream(context: CallContext): Promise<UpstreamAnswer> {
+    const { runningCall } = context;
     const work = this.createWork(context);
     let status = 0;
     try {
-      for await (const frame of untilAborted(
+      for await (const frame of iterateUntilAborted(
         this.options.dispatcher.dispatch(work),
-        running.signal,
+        runningCall.signal,
       )) {
         switch (frame.kind) {
           case 'head':
             status = frame.status;
             break;
           case 'data':
-            running.append(frame.data);
+            runningCall.append(frame.data);
             break;
           case 'done':
             return { status, usage: frame.usage };
@@ -126,14 +138,14 @@
       }
       throw new ZincringError('upstream-failed', { detail: 'the answer has no end' });
     } catch (failure) {
-      settleFailure(context, toZincringError(failure));
+      settleFailedCall(context, toZincringError(failure));
       throw failure;
     }
   }
 
   private createWork(context: CallContext): UpstreamWork {
-    const { isIdempotent, rule, running, state } = context;
-    const { request } = running;
+    const { isIdempotent, rule, runningCall, state } = context;
+    const { request } = runningCall;
     return {
       attainedTokens: state.attainedTokens,
       beforeSend: async () => this.prepareSend(context),
@@ -143,48 +155,53 @@
       program: request.program,
       rule,
       service: request.service,
-      signal: running.signal,
+      signal: runningCall.signal,
       timeoutMilliseconds: request.timeoutMilliseconds,
       workspace: request.workspace,
     };
   }
 
-  /** Stores the intent of non-idempotent work and looks at the lease again after it. */
+  /** Stores the intent of a non-idempotent call, then checks the lease again. */
   private async prepareSend(context: CallContext): Promise<Result<void, ZincringError>> {
-    const { home, isIdempotent, running, state } = context;
-    const { call, program } = running.request;
+    const { homeShard, isIdempotent, runningCall, state } = context;
+    const { call, program } = runningCall.request;
     if (!isIdempotent) {
-      const { requestDigest } = running;
-      const intended = await home.writeDurably({ call, program, requestDigest, type: 'intent' });
-      if (intended.err || running.isOver) {
-        abandonIntent(home, state, running);
+      const { requestDigest } = runningCall;
+      const writeResult = await homeShard.writeDurably({
+        call,
+        program,
+        requestDigest,
+        type: 'intent',
+      });
+      if (writeResult.err || runningCall.isFinished) {
+        abandonIntent(homeShard, state, runningCall);
         return Err(new ZincringError('store-unavailable', { ran: 'no' }));
       }
     }
     const refusal = findSendRefusal(context);
     if (refusal !== undefined) {
-      abandonIntent(home, state, running);
+      abandonIntent(homeShard, state, runningCall);
       return Err(refusal);
     }
-    context.mayBeSent = true;
+    context.mayHaveBeenSent = true;
     return Ok(undefined);
   }
 
-  private async takeTurn(context: CallContext, answer: UpstreamAnswer): Promise<void> {
-    const { home, running, state } = context;
-    if (running.isOver) {
+  private async storeTurn(context: CallContext, answer: UpstreamAnswer): Promise<void> {
+    const { homeShard, runningCall, state } = context;
+    if (runningCall.isFinished) {
       throw new ZincringError('call-interrupted');
     }
     const turn = createTurn(context, answer);
-    const written = home.write(turn);
+    const written = homeShard.write(turn);
     if (written.err) {
       throw written.val;
     }
-    const outcome = await home.settle(written.val);
+    const outcome = await homeShard.waitForOutcome(written.val);
     if (outcome === 'lost') {
-      throw new ZincringError('call-interrupted', { resume: resumePoint(running, state) });
+      throw new ZincringError('call-interrupted', { resume: getResumePoint(runningCall, state) });
     }
-    running.finish({
+    runningCall.finish({
       digest: turn.digest,
       isDurable: outcome === 'durable',
       kind: 'closed',
@@ -195,21 +212,21 @@
   }
 }
 
-function findTimeout(
-  running: RunningCall,
-  home: HomeShard,
+function computeTimeoutMilliseconds(
+  runningCall: RunningCall,
+  homeShard: HomeShard,
   state: ProgramState,
   rules: CallRules,
 ): number {
   return Math.min(
-    running.request.timeoutMilliseconds,
+    runningCall.request.timeoutMilliseconds,
     rules.service === undefined ? Number.POSITIVE_INFINITY : rules.service.timeoutSeconds * 1_000,
-    Math.max(0, state.opened.lifetimeMilliseconds - home.programs.ageOf(state)),
+    Math.max(0, state.opened.lifetimeMilliseconds - homeShard.programs.getAgeMilliseconds(state)),
   );
 }
 
-function checkRules(running: RunningCall, rules: CallRules): ServiceRule {
-  const isAllowed = rules.program?.services.includes(running.request.service) === true;
+function checkRules(runningCall: RunningCall, rules: CallRules): ServiceRule {
+  const isAllowed = rules.program?.services.includes(runningCall.request.service) === true;
   if (rules.service === undefined || !isAllowed) {
     throw new ZincringError('service-not-found');
   }
@@ -217,7 +234,7 @@
 }
 
 function checkState(context: CallContext): void {
-  const { home, running, state } = context;
+  const { homeShard, runningCall, state } = context;
   const refusal = findSendRefusal(context);
   if (refusal !== undefined) {
     throw refusal;
@@ -225,31 +242,34 @@
   if (state.hasEnded) {
     throw new ZincringError('program-ended');
   }
-  const resume = resumePoint(running, state);
-  if (running.request.turn !== resume.turn + 1) {
+  const resume = getResumePoint(runningCall, state);
+  if (runningCall.request.turn !== resume.turn + 1) {
     throw new ZincringError('turn-conflict', { resume });
   }
   if (state.callsLeft < 1) {
     throw new ZincringError('budget-exhausted', { resume });
   }
-  if (!home.hasRoom) {
+  if (!homeShard.hasRoomForNewCall) {
     throw new ZincringError('undurable-limit-reached', { resume });
   }
 }
 
-/** Why the call may not be sent now; to be asked again after every wait. */
+/**
+ * Finds the reason why the call may not be sent now; `undefined` if it may. Must be called again
+ * after every await.
+ */
 function findSendRefusal(context: CallContext): ZincringError | undefined {
-  const { home, isIdempotent, running } = context;
-  if (running.isOver) {
+  const { homeShard, isIdempotent, runningCall } = context;
+  if (runningCall.isFinished) {
     return new ZincringError('shard-unavailable');
   }
-  switch (home.standing) {
+  switch (homeShard.leaseStatus) {
     case 'held':
-      return isIdempotent || !home.isStoreFailing
+      return isIdempotent || !homeShard.isStoreFailing
         ? undefined
         : new ZincringError('store-unavailable', { ran: 'no' });
     case 'releasing':
-      // A call that began before the handover is finished by this holder.
+      // A call that started before the handover is finished by this holder.
       return undefined;
     case 'lapsed':
       return isIdempotent ? undefined : new ZincringError('store-unavailable', { ran: 'no' });
@@ -259,42 +279,45 @@
   }
 }
 
-function abandonIntent(home: HomeShard, state: ProgramState, running: RunningCall): void {
-  const { call, program } = running.request;
+function abandonIntent(homeShard: HomeShard, state: ProgramState, runningCall: RunningCall): void {
+  const { call, program } = runningCall.request;
   if (state.findCall(call).status === 'intended') {
-    home.write({ call, program, type: 'abandoned' });
+    homeShard.write({ call, program, type: 'abandoned' });
   }
 }
 
-/** Settles what a call without an answer leaves behind. */
-function settleFailure(context: CallContext, error: ZincringError): void {
-  const { home, running, state } = context;
-  const { call, program } = running.request;
-  if (!context.mayBeSent || error.ran === 'no') {
-    abandonIntent(home, state, running);
+/**
+ * Updates the program's state after a call that failed: abandons its intent if the call did not
+ * run, and otherwise counts its reserved tokens as used.
+ */
+function settleFailedCall(context: CallContext, error: ZincringError): void {
+  const { homeShard, runningCall, state } = context;
+  const { call, program } = runningCall.request;
+  if (!context.mayHaveBeenSent || error.ran === 'no') {
+    abandonIntent(homeShard, state, runningCall);
     return;
   }
-  const tokens = state.budget.reservedFor(call);
+  const tokens = state.budget.getReservedTokens(call);
   if (tokens > 0) {
-    // What the engine used of the reservation is not known: all of it counts.
-    home.write({ program, type: 'spent', usedTokens: state.budget.used + tokens });
+    // It is unknown how much of the reservation the engine used, so all of it is counted.
+    homeShard.write({ program, type: 'spent', usedTokens: state.budget.used + tokens });
   }
 }
 
 function createTurn(context: CallContext, answer: UpstreamAnswer): TurnRecord {
-  const { home, running, state } = context;
-  const { request, requestDigest } = running;
+  const { homeShard, runningCall, state } = context;
+  const { request, requestDigest } = runningCall;
   const parentCall = request.parentCall ?? null;
-  const branch = state.branch(parentCall);
+  const branch = state.getBranch(parentCall);
   const body = Buffer.from(request.body).toString('utf8');
-  const text = running.text();
+  const text = runningCall.text();
   const usedTokens = answer.usage.promptTokens + answer.usage.outputTokens;
   return {
-    ageMilliseconds: home.programs.ageOf(state),
-    allowance: state.budget.allowanceAfter(request.call, usedTokens),
+    ageMilliseconds: homeShard.programs.getAgeMilliseconds(state),
+    allowance: state.budget.computeAllowanceAfter(request.call, usedTokens),
     answer: text,
     call: request.call,
-    digest: branch.nextDigest(body, text),
+    digest: branch.computeNextDigest(body, text),
     parentCall,
     program: request.program,
     request: body,
@@ -307,9 +330,9 @@
   };
 }
 
-function resumePoint(
-  running: RunningCall,
+function getResumePoint(
+  runningCall: RunningCall,
   state: ProgramState,
-): ReturnType<ProgramState['branch']>['resumePoint'] {
-  return state.branch(running.request.parentCall ?? null).resumePoint;
+): ReturnType<ProgramState['getBranch']>['resumePoint'] {
+  return state.getBranch(runningCall.request.parentCall ?? null).resumePoint;
 }
--- a/packages/instance/src/programs/copyKeeper.ts
+++ b/packages/instance/src/programs/copyKeeper.ts
@@ -8,20 +8,24 @@
   readonly payload: string;
 }
 
-/** Copies that an instance asks another to keep while the store is out. */
+/** Request to keep copies of records for another instance while the store is unavailable. */
 export interface CopyRequest {
   readonly instance: InstanceId;
   readonly incarnation: IncarnationId;
   readonly records: readonly CopiedRecord[];
-  /** Copies before this sequence number are no longer needed. */
+  /** Sequence number before which copies are no longer needed. */
   readonly flushedSequence: number;
 }
 
-/** Keeps copies for other instances. */
+/** Keeps copies of records for other instances. */
 export interface CopyKeeper {
-  /** Returns whether the copies are kept. */
+  /**
+   * Stores the copies.
+   *
+   * @returns whether they are kept
+   */
   keep(request: CopyRequest): boolean;
 }
 
-/** Keeps nothing. */
+/** A {@link CopyKeeper} that declines all copies. */
 export const keepNoCopies: CopyKeeper = { keep: () => false };
--- a/packages/instance/src/programs/homeShard.ts
+++ b/packages/instance/src/programs/homeShard.ts
@@ -16,7 +16,7 @@
 import { CallMailboxes } from './callMailboxes.js';
 import { encodeProgramRecord } from './programRecord.js';
 
-/** What the home of one shard needs. */
+/** Options of a {@link HomeShard}. */
 export interface HomeShardOptions {
   readonly lease: ShardLease;
   readonly programs: ShardPrograms;
@@ -24,18 +24,24 @@
   readonly store: ShardStore;
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** Most calls of one branch that wait. */
+  /** Maximum number of waiting calls of one branch. */
   readonly maximumMailbox: number;
-  /** Records since the last snapshot after which a new one is made. */
+  /** Number of records since the last snapshot after which a new one is stored. */
   readonly recordsPerSnapshot?: number;
-  /** Commit groups of the whole log after which a shard moves its place in the log on. */
+  /**
+   * Number of commit groups of the log, which all shards of the instance share, after which the
+   * start of the shard's replay is moved forward.
+   */
   readonly groupsPerReference?: number;
 }
 
-/** How far a record has come: `stalled` may become durable later, `lost` must not be relied on. */
+/**
+ * Outcome of the wait for a record: `durable`; `stalled`, may become durable later; `lost`, must
+ * not be relied on.
+ */
 export type RecordOutcome = 'durable' | 'lost' | 'stalled';
 
-/** A record that was applied and is on its way to the log. */
+/** A record that was applied to the state and queued for the log. */
 export interface WrittenRecord {
   readonly record: ProgramRecord;
   readonly queued: QueuedRecord;
@@ -43,15 +49,15 @@
 
 const RECORDS_PER_SNAPSHOT = 500;
 const GROUPS_PER_REFERENCE = 2_000;
-/** Pause between looks whether a lapsed lease runs again, in milliseconds. */
-const LAPSED_LOOK_MILLISECONDS = 200;
+/** Interval at which a lapsed lease is checked for renewal. */
+const LAPSED_LEASE_POLL_MILLISECONDS = 200;
 
-/** One shard under one lease: its programs, their mailboxes, and their records in the log. */
+/** One shard under one lease: its programs, their mailboxes and their records in the log. */
 export class HomeShard {
   public readonly mailboxes: CallMailboxes;
-  private readonly unsettled = new Set<Promise<unknown>>();
+  private readonly pendingRecords = new Set<Promise<unknown>>();
   private recordsSinceSnapshot = 0;
-  private referenced: ShardStateReference | undefined;
+  private lastReference: ShardStateReference | undefined;
   private isSnapshotting = false;
   private closing = false;
 
@@ -64,37 +70,37 @@
     return this.options.lease.shard;
   }
 
-  /** The lease under which all work of this object is done. */
+  /** Lease under which this object does all its work. */
   public get lease(): ShardLease {
     return this.options.lease;
   }
 
-  /** The programs of the shard. */
+  /** Programs of the shard. */
   public get programs(): ShardPrograms {
     return this.options.programs;
   }
 
-  /** How the lease stands. To be asked again after every wait. */
-  public get standing(): ShardLeaseStatus {
+  /** Status of the lease. Must be checked again after every await. */
+  public get leaseStatus(): ShardLeaseStatus {
     return this.options.lease.status;
   }
 
-  /** Whether the shard takes no new work because it is handed over. */
+  /** Whether the shard accepts no new work because it is handed over or was dropped. */
   public get isClosing(): boolean {
     return this.closing;
   }
 
-  /** Whether the object store is failing, so that waiting for it may take long. */
+  /** Whether writes to the object store are failing, so that waiting for one may take long. */
   public get isStoreFailing(): boolean {
     return this.options.log.isStalled;
   }
 
   /** Whether the log has room for the turn of one more call. */
-  public get hasRoom(): boolean {
+  public get hasRoomForNewCall(): boolean {
     return this.options.log.hasRoomForNewWork;
   }
 
-  /** Applies a record if the log accepts it; a record that is refused leaves no trace. */
+  /** Applies a record if the log accepts it; a rejected record changes nothing. */
   public write(record: ProgramRecord): Result<WrittenRecord, ZincringError> {
     const { lease, log, programs } = this.options;
     if (lease.status === 'none' || lease.status === 'recovering') {
@@ -108,72 +114,84 @@
     }
     programs.apply(record);
     this.recordsSinceSnapshot++;
-    this.follow({ queued: queued.val, record });
+    this.trackDurability({ queued: queued.val, record });
     return Ok({ queued: queued.val, record });
   }
 
-  /** Waits until a record is durable, or until the store fails or the lease does. */
-  public async settle(written: WrittenRecord): Promise<RecordOutcome> {
+  /** Waits until a record is stored or the store fails, and then evaluates the lease's status. */
+  public async waitForOutcome(written: WrittenRecord): Promise<RecordOutcome> {
     const stored = await this.options.log.waitUntilStoredOrStalled(written.queued);
     if (stored === undefined) {
       return 'stalled';
     }
-    return stored.err ? 'lost' : this.judge(written);
+    return stored.err ? 'lost' : this.evaluateOutcome(written);
   }
 
-  /** Writes a record and waits for it. */
+  /** Writes a record and waits until it is durable; fails if it is not. */
   public async writeDurably(record: ProgramRecord): Promise<Result<void, ZincringError>> {
     const written = this.write(record);
     if (written.err) {
       return written;
     }
-    const outcome = await this.settle(written.val);
+    const outcome = await this.waitForOutcome(written.val);
     return outcome === 'durable'
       ? Ok(undefined)
       : Err(new ZincringError('store-unavailable', { ran: 'maybe' }));
   }
 
-  /** Stores a snapshot and says from where the log continues it; throws when it cannot. */
-  public async createReference(isHandedOver: boolean): Promise<ShardStateReference> {
+  /**
+   * Stores a snapshot; throws if that fails.
+   *
+   * @returns the location of the snapshot and the position from which the log continues it
+   */
+  public async saveSnapshot(isHandedOver: boolean): Promise<ShardStateReference> {
     const { lease, log, programs, store } = this.options;
     const from = log.upcomingSequence;
-    const contained = this.recordsSinceSnapshot;
+    const recordsInSnapshot = this.recordsSinceSnapshot;
     const snapshot = await store.save(lease.shard, lease.epoch, programs, isHandedOver);
-    this.recordsSinceSnapshot -= contained;
+    this.recordsSinceSnapshot -= recordsInSnapshot;
     const reference: ShardStateReference = {
       log: { epoch: lease.epoch, from, incarnation: log.incarnation },
       snapshot,
     };
-    this.referenced ??= reference;
+    this.lastReference ??= reference;
     return reference;
   }
 
-  /** Ends the work of the shard for the next holder: what runs is finished, what waits refused. */
+  /**
+   * Ends the work of the shard for its handover: running calls are finished, queued ones are
+   * refused.
+   *
+   * @returns the location of the state for the next holder
+   */
   public async close(): Promise<ShardStateReference> {
     this.closing = true;
     await this.mailboxes.close();
-    await Promise.all(this.unsettled);
-    return await this.createReference(true);
+    await Promise.all(this.pendingRecords);
+    return await this.saveSnapshot(true);
   }
 
-  /** Ends everything at once: another holder has, or may have, taken the shard. */
+  /** Interrupts all work immediately: another holder has, or may have, acquired the shard. */
   public drop(): void {
     this.closing = true;
-    this.mailboxes.drop();
+    this.mailboxes.interruptAll();
   }
 
-  /** Moves the shard's place in the log on, so that replay and log stay bounded. */
+  /**
+   * Stores a snapshot when one is due and moves the start of the replay forward, which bounds the
+   * length of the replay and of the log.
+   */
   public maintain(): void {
     const { groupsPerReference, log, recordsPerSnapshot } = this.options;
-    const groups = log.upcomingSequence - (this.referenced?.log?.from ?? 0);
+    const groupsSinceReference = log.upcomingSequence - (this.lastReference?.log?.from ?? 0);
     const isDue =
       this.recordsSinceSnapshot >= (recordsPerSnapshot ?? RECORDS_PER_SNAPSHOT) ||
-      groups >= (groupsPerReference ?? GROUPS_PER_REFERENCE);
-    if (!isDue || this.isSnapshotting || this.closing || this.standing !== 'held') {
+      groupsSinceReference >= (groupsPerReference ?? GROUPS_PER_REFERENCE);
+    if (!isDue || this.isSnapshotting || this.closing || this.leaseStatus !== 'held') {
       return;
     }
     this.isSnapshotting = true;
-    this.advance()
+    this.advanceReference()
       .catch((failure: unknown) => {
         const fields = { failure: failureText(failure), shard: this.shard };
         this.options.logger.warn(fields, 'snapshot failed');
@@ -183,27 +201,31 @@
       });
   }
 
-  /** Deletes what the reference under which the row stands has made superfluous. */
+  /**
+   * Deletes the snapshots that are no longer needed.
+   *
+   * @param reference location of the state that the shard's row is known to contain
+   */
   public async deleteOlderSnapshots(reference: ShardStateReference): Promise<void> {
     const { lease, store } = this.options;
     await store.deleteOlder(lease.shard, lease.epoch, reference.snapshot);
   }
 
-  private async advance(): Promise<void> {
-    const reference = await this.createReference(false);
+  private async advanceReference(): Promise<void> {
+    const reference = await this.saveSnapshot(false);
     const committed = await this.options.lease.commitState(reference);
     if (committed.ok) {
-      this.referenced = reference;
+      this.lastReference = reference;
       await this.deleteOlderSnapshots(reference);
     }
   }
 
-  /** Notes the durability of a record whenever it comes, also long after an outage. */
-  private follow(written: WrittenRecord): void {
-    const following = this.awaitDurability(written).finally(() => {
-      this.unsettled.delete(following);
+  /** Records that a record is durable whenever that happens, even after a long outage. */
+  private trackDurability(written: WrittenRecord): void {
+    const durability = this.awaitDurability(written).finally(() => {
+      this.pendingRecords.delete(durability);
     });
-    this.unsettled.add(following);
+    this.pendingRecords.add(durability);
   }
 
   private async awaitDurability(written: WrittenRecord): Promise<void> {
@@ -211,18 +233,18 @@
     if (stored.err) {
       return;
     }
-    // While the lease has lapsed, a taker may have replayed the log without this record. Once it
-    // runs again, no other holder has come between.
-    while (this.judge(written) === 'stalled') {
-      await sleep(this.options.timers, LAPSED_LOOK_MILLISECONDS);
+    // While the lease has lapsed, another instance may have acquired the shard and replayed the log
+    // without this record. If the lease is renewed, there was no other holder in between.
+    while (this.evaluateOutcome(written) === 'stalled') {
+      await sleep(this.options.timers, LAPSED_LEASE_POLL_MILLISECONDS);
     }
   }
 
-  private judge(written: WrittenRecord): RecordOutcome {
-    switch (this.standing) {
+  private evaluateOutcome(written: WrittenRecord): RecordOutcome {
+    switch (this.leaseStatus) {
       case 'held':
       case 'releasing':
-        this.stateOf(written.record.program)?.noteDurable(written.record);
+        this.findState(written.record.program)?.recordDurable(written.record);
         return 'durable';
       case 'lapsed':
         return 'stalled';
@@ -232,7 +254,7 @@
     }
   }
 
-  private stateOf(program: ProgramId): ReturnType<ShardPrograms['find']> {
+  private findState(program: ProgramId): ReturnType<ShardPrograms['find']> {
     return this.options.programs.find(program);
   }
 }
--- a/packages/instance/src/programs/untilAborted.ts
+++ b/packages/instance/src/programs/iterateUntilAborted.ts
@@ -1,20 +1,21 @@
 /**
- * Passes values on until the signal aborts, also when the source itself ignores it.
+ * Yields the values of a source. If the signal aborts first, throws the signal's reason, even if
+ * the source ignores the signal.
  *
  * @example
- * for await (const frame of untilAborted(source, signal)) { … }
+ * for await (const frame of iterateUntilAborted(source, signal)) { … }
  */
-export async function* untilAborted<Value>(
+export async function* iterateUntilAborted<Value>(
   source: AsyncIterable<Value>,
   signal: AbortSignal,
 ): AsyncGenerator<Value> {
   const iterator = source[Symbol.asyncIterator]();
-  let stop: () => void = () => undefined;
+  let resolveAborted: () => void = () => undefined;
   const aborted = new Promise<undefined>(resolve => {
-    stop = () => {
+    resolveAborted = () => {
       resolve(undefined);
     };
-    signal.addEventListener('abort', stop, { once: true });
+    signal.addEventListener('abort', resolveAborted, { once: true });
   });
   try {
     while (!signal.aborted) {
@@ -29,7 +30,7 @@
     }
     throw signal.reason;
   } finally {
-    signal.removeEventListener('abort', stop);
+    signal.removeEventListener('abort', resolveAborted);
     iterator.return?.().catch(() => undefined);
   }
 }
--- a/packages/instance/src/programs/openProgramCounts.ts
+++ b/packages/instance/src/programs/openProgramCounts.ts
@@ -2,27 +2,30 @@
 
 import type { GossipParticipant } from '../peers/gossipParticipant.js';
 
-/** What counting open programs across instances needs. */
+/** Options of {@link OpenProgramCounts}. */
 export interface OpenProgramCountsOptions {
   readonly timers: TimerService;
-  /** Open programs held here, by workspace. */
+  /** Counts the open programs held by this instance, by workspace. */
   readonly countHere: () => ReadonlyMap<WorkspaceName, number>;
-  /** How long the counts of an instance that has fallen silent are kept, in milliseconds. */
+  /** Time after which the counts of an instance that sends no more heartbeats are dropped. */
   readonly keepMilliseconds: number;
 }
 
-interface HeardCounts {
-  readonly heardAt: number;
+/** Counts that another instance announced. */
+interface ReceivedCounts {
+  /** Time of receipt on the monotonic clock of this instance, in milliseconds. */
+  readonly receivedAt: number;
   readonly counts: ReadonlyMap<string, number>;
 }
 
 /**
- * How many programs each workspace has open at the other instances, as they tell with their
- * heartbeats. The limit on open programs is kept within what is opened between two heartbeats.
+ * Numbers of open programs of each workspace at the other instances, as announced with their
+ * heartbeats. The limit on open programs can be exceeded by the number of programs that are opened
+ * between two heartbeats.
  */
 export class OpenProgramCounts implements GossipParticipant {
   public readonly key = 'open-programs';
-  private readonly heard = new Map<InstanceId, HeardCounts>();
+  private readonly countsByInstance = new Map<InstanceId, ReceivedCounts>();
 
   public constructor(private readonly options: OpenProgramCountsOptions) {}
 
@@ -32,16 +35,16 @@
 
   public hear(instance: InstanceId, value: string): void {
     const counts = new Map(JSON.parse(value) as [string, number][]);
-    this.heard.set(instance, { counts, heardAt: this.options.timers.now() });
+    this.countsByInstance.set(instance, { counts, receivedAt: this.options.timers.now() });
   }
 
-  /** Open programs of a workspace at the other instances. */
+  /** Counts the open programs of a workspace at the other instances. */
   public countElsewhere(workspace: WorkspaceName): number {
-    const oldest = this.options.timers.now() - this.options.keepMilliseconds;
+    const oldestValid = this.options.timers.now() - this.options.keepMilliseconds;
     let sum = 0;
-    for (const [instance, { counts, heardAt }] of this.heard) {
-      if (heardAt < oldest) {
-        this.heard.delete(instance);
+    for (const [instance, { counts, receivedAt }] of this.countsByInstance) {
+      if (receivedAt < oldestValid) {
+        this.countsByInstance.delete(instance);
         continue;
       }
       sum += counts.get(workspace) ?? 0;
--- a/packages/instance/src/programs/programEndListener.ts
+++ b/packages/instance/src/programs/programEndListener.ts
@@ -1,11 +1,12 @@
 import type { Epoch, ProgramId } from '@zincring/core';
 
-/** Hears of programs that have ended, so that what upstreams hold for them can be released. */
+/** Receives the ends of programs, so that the memory held for them by engines can be released. */
 export interface ProgramEndListener {
   /**
-   * A program has ended. The same end may be told again, also by a later holder of the shard.
+   * Called when a program has ended. May be called again for the same program, also by a later
+   * holder of the shard.
    *
-   * @param epoch fencing number for orders to upstreams
+   * @param epoch fencing token for orders to upstreams
    */
   onProgramEnd(program: ProgramId, epoch: Epoch): void;
 }
--- a/packages/instance/src/programs/programHome.ts
+++ b/packages/instance/src/programs/programHome.ts
@@ -42,9 +42,9 @@
 import { HomeShard } from './homeShard.js';
 import { replayAnswer, RunningCall } from './runningCall.js';
 import { ShardStore } from './shardStore.js';
-import { openingAllowance } from './tokenBudget.js';
+import { computeOpeningAllowance } from './tokenBudget.js';
 
-/** What the home of programs needs. */
+/** Options of a {@link ProgramHome}. */
 export interface ProgramHomeOptions {
   readonly objects: ObjectStore;
   readonly timers: TimerService;
@@ -53,56 +53,56 @@
   readonly shardCount: number;
   readonly dispatcher: UpstreamDispatcher;
   readonly configuration: () => Configuration | undefined;
-  /** Most calls of one branch of a program that wait. */
+  /** Maximum number of waiting calls of one branch of a program. */
   readonly maximumMailbox: number;
-  /** Records of a shard since its last snapshot after which a new one is made. */
+  /** Number of records of a shard since its last snapshot after which a new one is stored. */
   readonly recordsPerSnapshot?: number;
-  /** Commit groups of the log after which a shard moves its place in the log on. */
+  /** Number of commit groups of the log after which the start of a shard's replay is moved on. */
   readonly groupsPerReference?: number;
-  /** Hears of programs that have ended. */
+  /** Is notified of programs that have ended. */
   readonly endListener?: ProgramEndListener;
-  /** Number of a workspace's open programs at the other instances, as far as is known. */
+  /** Counts a workspace's open programs at the other instances, as far as they are known. */
   readonly countElsewhere?: (workspace: WorkspaceName) => number;
-  /** Tells of withdrawn keys. */
+  /** Notifies of withdrawn keys. */
   readonly keyWatch?: Pick<KeyWatch, 'isValid' | 'onWithdrawn'>;
 }
 
-/** How often programs are looked at for their end, in milliseconds. */
-const MAINTENANCE_MILLISECONDS = 1_000;
-/** How long ended programs are kept to answer resends, in milliseconds. */
-const TOMBSTONE_MILLISECONDS = 10 * 60 * 1_000;
+/** Interval at which programs are checked for their end and snapshots for being due. */
+const MAINTENANCE_INTERVAL_MILLISECONDS = 1_000;
+/** Time for which ended programs are kept to answer resends. */
+const ENDED_PROGRAM_RETENTION_MILLISECONDS = 10 * 60 * 1_000;
 
-/** The programs whose shards this instance holds. */
+/** Serves the programs whose shards this instance holds. */
 export class ProgramHome implements ProgramService, ShardOwner {
   private readonly shards = new Map<ShardId, HomeShard>();
   private readonly store: ShardStore;
   private readonly runner: CallRunner;
-  private maintenance: TimerSubscription | undefined;
+  private maintenanceTimer: TimerSubscription | undefined;
 
   public constructor(private readonly options: ProgramHomeOptions) {
     this.store = new ShardStore(options.objects, options.timers);
     this.runner = new CallRunner(options);
   }
 
-  /** Begins to end programs that are idle or too old, and to move snapshots on. */
+  /** Starts the periodic maintenance: ends idle and expired programs and renews snapshots. */
   public start(): void {
-    this.maintenance ??= this.options.timers.every(MAINTENANCE_MILLISECONDS, () => {
+    this.maintenanceTimer ??= this.options.timers.every(MAINTENANCE_INTERVAL_MILLISECONDS, () => {
       this.maintain();
     });
   }
 
-  /** Stops what {@link ProgramHome.start} began. */
+  /** Stops the periodic maintenance. */
   public stop(): void {
-    this.maintenance?.stop();
-    this.maintenance = undefined;
+    this.maintenanceTimer?.stop();
+    this.maintenanceTimer = undefined;
   }
 
-  /** Number of programs held. */
+  /** Number of programs held here, including ended ones that are still kept. */
   public get programCount(): number {
     return [...this.shards.values()].reduce((sum, shard) => sum + shard.programs.size, 0);
   }
 
-  /** Number of a workspace's programs held here that have not ended. */
+  /** Counts a workspace's programs held here that have not ended. */
   public countOpen(workspace: WorkspaceName): number {
     return [...this.shards.values()].reduce(
       (sum, shard) => sum + shard.programs.countOpen(workspace),
@@ -110,7 +110,7 @@
     );
   }
 
-  /** Number of programs held here that have not ended, by workspace. */
+  /** Counts the programs held here that have not ended, by workspace. */
   public countOpenByWorkspace(): ReadonlyMap<WorkspaceName, number> {
     const counts = new Map<WorkspaceName, number>();
     for (const shard of this.shards.values()) {
@@ -123,7 +123,7 @@
     return counts;
   }
 
-  /** The state of a program that is held here, whatever its workspace, for operators. */
+  /** Finds the state of a program held here, regardless of its workspace; for operators. */
   public inspect(program: ProgramId): ProgramState | undefined {
     return this.shards.get(this.shardOf(program))?.programs.find(program);
   }
@@ -134,26 +134,26 @@
   ): Promise<ShardStateReference> {
     const programs = await this.store.load(lease.shard, state);
     programs.startUnderNewHolder();
-    const home = new HomeShard({ ...this.options, lease, programs, store: this.store });
-    const reference = await home.createReference(false);
+    const homeShard = new HomeShard({ ...this.options, lease, programs, store: this.store });
+    const reference = await homeShard.saveSnapshot(false);
     if (lease.status === 'recovering') {
-      this.shards.set(lease.shard, home);
+      this.shards.set(lease.shard, homeShard);
     }
     return reference;
   }
 
   public async handOver(lease: ShardLease): Promise<ShardStateReference> {
-    const home = this.shards.get(lease.shard);
-    if (home?.lease !== lease) {
-      throw new Error(`shard ${lease.shard} has no state`);
+    const homeShard = this.shards.get(lease.shard);
+    if (homeShard?.lease !== lease) {
+      throw new Error(`shard ${lease.shard} is not held under the lease to hand over`);
     }
-    return await home.close();
+    return await homeShard.close();
   }
 
   public drop(lease: ShardLease): void {
-    const home = this.shards.get(lease.shard);
-    if (home?.lease === lease) {
-      home.drop();
+    const homeShard = this.shards.get(lease.shard);
+    if (homeShard?.lease === lease) {
+      homeShard.drop();
       this.shards.delete(lease.shard);
     }
   }
@@ -163,24 +163,24 @@
     if (rule === undefined) {
       return Err(new ZincringError('bad-request', { detail: 'there is no such policy' }));
     }
-    const home = this.findHome(request.program);
-    if (home.err) {
-      return home;
+    const homeShard = this.findHomeShard(request.program);
+    if (homeShard.err) {
+      return homeShard;
     }
-    const refusal = this.findOpenRefusal(home.val, request);
+    const refusal = this.findOpenRefusal(homeShard.val, request);
     if (refusal !== undefined) {
       return Err(refusal);
     }
-    const known = home.val.programs.find(request.program);
-    if (known?.isOpeningDurable === true) {
-      return Ok(known.summary);
+    const knownState = homeShard.val.programs.find(request.program);
+    if (knownState?.isOpeningDurable === true) {
+      return Ok(knownState.summary);
     }
-    const written = home.val.write(createOpenedRecord(request, rule));
+    const written = homeShard.val.write(createOpenedRecord(request, rule));
     if (written.err) {
       return written;
     }
-    const outcome = await home.val.settle(written.val);
-    const state = home.val.programs.find(request.program);
+    const outcome = await homeShard.val.waitForOutcome(written.val);
+    const state = homeShard.val.programs.find(request.program);
     if (outcome !== 'durable' || state === undefined) {
       return Err(new ZincringError('store-unavailable', { ran: 'maybe' }));
     }
@@ -190,118 +190,126 @@
   public async describe(
     reference: ProgramReference,
   ): Promise<Result<ProgramSummary, ZincringError>> {
-    const found = this.find(reference);
+    const found = this.findProgram(reference);
     return await Promise.resolve(found.map(({ state }) => state.summary));
   }
 
   public async end(reference: ProgramReference): Promise<Result<ProgramSummary, ZincringError>> {
-    const found = this.find(reference);
+    const found = this.findProgram(reference);
     if (found.err) {
       return found;
     }
-    const { home, state } = found.val;
-    const ended = await this.endProgram(home, state, 'asked');
-    return ended.map(() => state.summary);
+    const { homeShard, state } = found.val;
+    const endResult = await this.endProgram(homeShard, state, 'asked');
+    return endResult.map(() => state.summary);
   }
 
-  /** Those of the programs that have ended or never were; only the holder of a shard can tell. */
+  /**
+   * Finds those of the programs that have ended or are unknown. Programs of shards that this
+   * instance does not hold are left out, as only the holder of a shard knows.
+   */
   public findGone(programs: readonly ProgramId[]): readonly GoneProgram[] {
     return programs.flatMap(program => {
-      const home = this.shards.get(this.shardOf(program));
-      if (home?.standing !== 'held') {
+      const homeShard = this.shards.get(this.shardOf(program));
+      if (homeShard?.leaseStatus !== 'held') {
         return [];
       }
-      const state = home.programs.find(program);
-      const fence: Epoch = home.lease.epoch;
+      const state = homeShard.programs.find(program);
+      const fence: Epoch = homeShard.lease.epoch;
       return state === undefined || state.hasEnded ? [{ fence, program }] : [];
     });
   }
 
   public async *call(request: CallRequest): AsyncGenerator<CallFrame> {
-    const found = this.find(request);
+    const found = this.findProgram(request);
     if (found.err) {
       yield { error: found.val, kind: 'failed' };
       return;
     }
-    const { home, state } = found.val;
+    const { homeShard, state } = found.val;
     const requestDigest = digestRequest(request);
-    const running = home.mailboxes.find(request.program, request.call);
-    const known = state.findCall(request.call);
+    const runningCall = homeShard.mailboxes.findCall(request.program, request.call);
+    const knownCall = state.findCall(request.call);
     const earlierDigest =
-      running?.requestDigest ??
-      (known.status === 'done' ? known.turn.requestDigest : undefined) ??
-      (known.status === 'intended' ? known.requestDigest : undefined);
+      runningCall?.requestDigest ??
+      (knownCall.status === 'done' ? knownCall.turn.requestDigest : undefined) ??
+      (knownCall.status === 'intended' ? knownCall.requestDigest : undefined);
     if (earlierDigest !== undefined && earlierDigest !== requestDigest) {
       const detail = 'the call id stands for another request';
       yield { error: new ZincringError('bad-request', { detail }), kind: 'failed' };
       return;
     }
-    if (running !== undefined && !running.isOver) {
-      yield* running.follow(request.fromOffset);
+    if (runningCall !== undefined && !runningCall.isFinished) {
+      yield* runningCall.follow(request.fromOffset);
       return;
     }
-    if (known.status === 'done') {
-      yield* replayAnswer(known.turn.answer, request.fromOffset, closedOf(known.turn, state));
+    if (knownCall.status === 'done') {
+      yield* replayAnswer(
+        knownCall.turn.answer,
+        request.fromOffset,
+        createClosedFrame(knownCall.turn, state),
+      );
       return;
     }
-    const started = this.startCall(request, requestDigest, home, state);
-    if (started.err) {
-      yield { error: started.val, kind: 'failed' };
+    const startResult = this.startCall(request, requestDigest, homeShard, state);
+    if (startResult.err) {
+      yield { error: startResult.val, kind: 'failed' };
       return;
     }
-    yield* started.val.follow(request.fromOffset);
+    yield* startResult.val.follow(request.fromOffset);
   }
 
   private startCall(
     request: CallRequest,
     requestDigest: string,
-    home: HomeShard,
+    homeShard: HomeShard,
     state: ProgramState,
   ): Result<RunningCall, ZincringError> {
     if (state.findCall(request.call).status === 'intended') {
       return Err(new ZincringError('call-outcome-unknown'));
     }
-    const resume = state.branch(request.parentCall ?? null).resumePoint;
-    if (home.mailboxes.find(request.program, request.call) !== undefined) {
-      // The call was given up, but what was sent for it has not come to its end yet.
+    const resume = state.getBranch(request.parentCall ?? null).resumePoint;
+    if (homeShard.mailboxes.findCall(request.program, request.call) !== undefined) {
+      // The call was aborted, but its request to the upstream has not finished yet.
       return Err(new ZincringError('call-interrupted', { resume }));
     }
     if (request.isAttachOnly) {
       return Err(new ZincringError('call-interrupted', { resume }));
     }
-    if (home.isClosing) {
+    if (homeShard.isClosing) {
       return Err(new ZincringError('shard-unavailable'));
     }
-    const running = new RunningCall(request, requestDigest);
-    home.programs.touch(state);
-    const queued = home.mailboxes.enqueue(running, async next =>
-      this.runner.run(next, home, state, this.rulesFor(next.request, state)),
+    const runningCall = new RunningCall(request, requestDigest);
+    homeShard.programs.recordUse(state);
+    const enqueueResult = homeShard.mailboxes.enqueue(runningCall, async dequeuedCall =>
+      this.runner.run(dequeuedCall, homeShard, state, this.findRules(dequeuedCall.request, state)),
     );
-    if (queued.ok) {
-      this.endOnWithdrawal(running);
+    if (enqueueResult.ok) {
+      this.endCallOnKeyWithdrawal(runningCall);
     }
-    return queued.map(() => running);
+    return enqueueResult.map(() => runningCall);
   }
 
   /**
-   * Ends a call whose key is withdrawn while it waits or runs. A key that this instance does not
-   * know yet is left to the entry, which has checked it against a newer configuration.
+   * Ends a call whose key is withdrawn while the call is queued or running. A key that this
+   * instance does not know yet is not watched: the instance that received the request has checked
+   * it against a newer configuration and watches it.
    */
-  private endOnWithdrawal(running: RunningCall): void {
+  private endCallOnKeyWithdrawal(runningCall: RunningCall): void {
     const { keyWatch } = this.options;
-    const { keyHash } = running.request;
+    const { keyHash } = runningCall.request;
     if (keyWatch?.isValid(keyHash) !== true) {
       return;
     }
-    const watch = keyWatch.onWithdrawn(keyHash, () => {
-      running.withdraw();
+    const subscription = keyWatch.onWithdrawn(keyHash, () => {
+      runningCall.endOnKeyWithdrawal();
     });
-    void running.ended().then(() => {
-      watch.stop();
+    void runningCall.waitForEnd().then(() => {
+      subscription.stop();
     });
   }
 
-  private rulesFor(request: CallRequest, state: ProgramState): CallRules {
+  private findRules(request: CallRequest, state: ProgramState): CallRules {
     const configuration = this.options.configuration();
     return {
       program: configuration?.programs.get(state.opened.policy),
@@ -309,88 +317,95 @@
     };
   }
 
-  private findOpenRefusal(home: HomeShard, request: OpenProgramRequest): ZincringError | undefined {
-    if (home.isClosing || home.standing !== 'held') {
+  private findOpenRefusal(
+    homeShard: HomeShard,
+    request: OpenProgramRequest,
+  ): ZincringError | undefined {
+    if (homeShard.isClosing || homeShard.leaseStatus !== 'held') {
       return new ZincringError('shard-unavailable');
     }
-    if (home.isStoreFailing) {
+    if (homeShard.isStoreFailing) {
       return new ZincringError('store-unavailable', { ran: 'no' });
     }
-    const known = home.programs.find(request.program);
-    if (known !== undefined) {
-      return known.opened.workspace === request.workspace
+    const knownState = homeShard.programs.find(request.program);
+    if (knownState !== undefined) {
+      return knownState.opened.workspace === request.workspace
         ? undefined
         : new ZincringError('program-not-found');
     }
     const limit = this.options.configuration()?.workspaces.get(request.workspace)?.programs;
-    const open =
+    const openCount =
       this.countOpen(request.workspace) + (this.options.countElsewhere?.(request.workspace) ?? 0);
-    return limit !== undefined && open >= limit
+    return limit !== undefined && openCount >= limit
       ? new ZincringError('program-limit-reached')
       : undefined;
   }
 
   private async endProgram(
-    home: HomeShard,
+    homeShard: HomeShard,
     state: ProgramState,
     reason: EndReason,
   ): Promise<Result<void, ZincringError>> {
     const { program } = state;
-    if (!state.hasEnded && home.isClosing) {
+    if (!state.hasEnded && homeShard.isClosing) {
       return Err(new ZincringError('shard-unavailable'));
     }
-    const ended = await home.writeDurably({ program, reason, type: 'ended' });
-    if (ended.ok) {
-      this.options.endListener?.onProgramEnd(program, home.lease.epoch);
+    const endResult = await homeShard.writeDurably({ program, reason, type: 'ended' });
+    if (endResult.ok) {
+      this.options.endListener?.onProgramEnd(program, homeShard.lease.epoch);
     }
-    return ended;
+    return endResult;
   }
 
   private maintain(): void {
-    for (const home of this.shards.values()) {
-      if (home.standing !== 'held' || home.isClosing || home.isStoreFailing) {
+    for (const homeShard of this.shards.values()) {
+      if (homeShard.leaseStatus !== 'held' || homeShard.isClosing || homeShard.isStoreFailing) {
         continue;
       }
-      for (const state of home.programs.all()) {
-        this.maintainProgram(home, state);
+      for (const state of homeShard.programs.all()) {
+        this.maintainProgram(homeShard, state);
       }
-      home.maintain();
+      homeShard.maintain();
     }
   }
 
-  private maintainProgram(home: HomeShard, state: ProgramState): void {
+  private maintainProgram(homeShard: HomeShard, state: ProgramState): void {
     const { opened, program } = state;
     if (state.hasEnded) {
-      if (home.programs.endedTimeOf(state) >= TOMBSTONE_MILLISECONDS) {
-        home.write({ program, type: 'forgotten' });
+      if (
+        homeShard.programs.getMillisecondsSinceEnd(state) >= ENDED_PROGRAM_RETENTION_MILLISECONDS
+      ) {
+        homeShard.write({ program, type: 'forgotten' });
       }
       return;
     }
-    const isOld = home.programs.ageOf(state) >= opened.lifetimeMilliseconds;
+    const isLifetimeOver =
+      homeShard.programs.getAgeMilliseconds(state) >= opened.lifetimeMilliseconds;
     const isIdle =
-      home.programs.idleTimeOf(state) >= opened.idleMilliseconds && !home.mailboxes.isBusy(program);
-    if (isOld || isIdle) {
-      void this.endProgram(home, state, isOld ? 'lifetime' : 'idle');
+      homeShard.programs.getIdleMilliseconds(state) >= opened.idleMilliseconds &&
+      !homeShard.mailboxes.isBusy(program);
+    if (isLifetimeOver || isIdle) {
+      void this.endProgram(homeShard, state, isLifetimeOver ? 'lifetime' : 'idle');
     }
   }
 
-  private find(
+  private findProgram(
     reference: ProgramReference,
-  ): Result<{ readonly home: HomeShard; readonly state: ProgramState }, ZincringError> {
-    return this.findHome(reference.program).andThen(home => {
-      const state = home.programs.find(reference.program);
+  ): Result<{ readonly homeShard: HomeShard; readonly state: ProgramState }, ZincringError> {
+    return this.findHomeShard(reference.program).andThen(homeShard => {
+      const state = homeShard.programs.find(reference.program);
       return state?.opened.workspace === reference.workspace
-        ? Ok({ home, state })
+        ? Ok({ homeShard, state })
         : Err(new ZincringError('program-not-found'));
     });
   }
 
-  private findHome(program: ProgramId): Result<HomeShard, ZincringError> {
-    const home = this.shards.get(this.shardOf(program));
-    const standing = home?.standing ?? 'none';
-    return home === undefined || standing === 'none' || standing === 'recovering'
+  private findHomeShard(program: ProgramId): Result<HomeShard, ZincringError> {
+    const homeShard = this.shards.get(this.shardOf(program));
+    const leaseStatus = homeShard?.leaseStatus ?? 'none';
+    return homeShard === undefined || leaseStatus === 'none' || leaseStatus === 'recovering'
       ? Err(new ZincringError('shard-unavailable'))
-      : Ok(home);
+      : Ok(homeShard);
   }
 
   private shardOf(program: ProgramId): ShardId {
@@ -401,7 +416,7 @@
 function createOpenedRecord(request: OpenProgramRequest, rule: ProgramRule): OpenedRecord {
   const lifetimeMilliseconds = rule.lifetimeSeconds * 1_000;
   return {
-    allowance: openingAllowance(rule.tokens),
+    allowance: computeOpeningAllowance(rule.tokens),
     calls: rule.calls,
     idleMilliseconds: rule.idleSeconds * 1_000,
     lifetimeMilliseconds: Math.min(
@@ -416,10 +431,10 @@
   };
 }
 
-function closedOf(turn: TurnRecord, state: ProgramState): CallClosed {
+function createClosedFrame(turn: TurnRecord, state: ProgramState): CallClosed {
   return {
     digest: turn.digest,
-    isDurable: turn.turn <= state.branch(turn.parentCall).durableTurn,
+    isDurable: turn.turn <= state.getBranch(turn.parentCall).durableTurn,
     kind: 'closed',
     turn: turn.turn,
     upstreamStatus: turn.upstreamStatus,
--- a/packages/instance/src/programs/programMessages.ts
+++ b/packages/instance/src/programs/programMessages.ts
@@ -9,23 +9,23 @@
   ZincringError,
 } from '@zincring/core';
 
-/** Opens a program. */
+/** Request to open a program. */
 export interface OpenProgramRequest {
   readonly workspace: WorkspaceName;
   readonly program: ProgramId;
-  /** Name of the program rule that binds it. */
+  /** Name of the program rule that applies to the program. */
   readonly policy: string;
-  /** Time left for the whole program; `undefined` for what the rule gives. */
+  /** Time left for the complete program; `undefined` for the lifetime that the rule sets. */
   readonly deadlineMilliseconds: number | undefined;
 }
 
-/** Names a program on behalf of a workspace. */
+/** Identifies a program of a workspace. */
 export interface ProgramReference {
   readonly workspace: WorkspaceName;
   readonly program: ProgramId;
 }
 
-/** What a caller may know of a program. */
+/** State of a program as callers see it. */
 export interface ProgramSummary {
   readonly program: ProgramId;
   readonly policy: string;
@@ -37,38 +37,39 @@
   readonly hasEnded: boolean;
 }
 
-/** One call of a program. */
+/** Request of one call of a program. */
 export interface CallRequest extends ProgramReference {
   readonly call: CallId;
-  /** The call on whose behalf a sub-agent makes this one. */
+  /** Call on whose behalf a sub-agent makes this one; `undefined` for a call of the program. */
   readonly parentCall: CallId | undefined;
-  /** Number of the turn that the call makes, from 1. */
+  /** Number of the turn that the call adds to its branch, starting at 1. */
   readonly turn: number;
   readonly service: ServiceName;
-  /** HTTP method and path at a plain service; empty for an engine. */
+  /** HTTP method for a plain service; empty for an engine. */
   readonly method: string;
+  /** HTTP path at a plain service; empty for an engine. */
   readonly path: string;
   readonly body: Uint8Array;
-  /** Most tokens of the answer of an engine. */
+  /** Maximum number of tokens of an engine's answer. */
   readonly maxTokens: number;
-  /** Time left for the call; durations cross instances, clocks do not. */
+  /** Time left for the call; a duration, since instances do not share a clock. */
   readonly timeoutMilliseconds: number;
-  /** Answer bytes that the caller has already. */
+  /** Number of answer bytes that the caller already has. */
   readonly fromOffset: number;
-  /** Whether only a running or finished call may be followed, and none started. */
+  /** Whether the request may only attach to an existing call and must not start one. */
   readonly isAttachOnly: boolean;
-  /** Key under which the call came, so that its withdrawal ends the call. */
+  /** Hash of the key that authenticated the call; withdrawing the key ends the call. */
   readonly keyHash: KeyHash;
 }
 
-/** What a finished call used. */
+/** Tokens used by a finished call. */
 export interface CallUsage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly outputTokens: number;
 }
 
-/** The end of a whole answer. */
+/** Last frame of a complete answer. */
 export interface CallClosed {
   readonly kind: 'closed';
   readonly turn: number;
@@ -76,11 +77,11 @@
   /** Whether the turn would survive the loss of every instance. */
   readonly isDurable: boolean;
   readonly usage: CallUsage;
-  /** HTTP status that a plain service gave; 0 for an engine. */
+  /** HTTP status of a plain service's answer; 0 for an engine. */
   readonly upstreamStatus: number;
 }
 
-/** A part of an answer. */
+/** Frame with a part of an answer. */
 export interface CallData {
   readonly kind: 'data';
   /** Number of answer bytes before this part. */
@@ -88,16 +89,16 @@
   readonly data: Uint8Array;
 }
 
-/** The end of a call that has no whole answer. */
+/** Last frame of a call without a complete answer. */
 export interface CallFailed {
   readonly kind: 'failed';
   readonly error: ZincringError;
 }
 
-/** One frame of an answer: data in order, then `closed` or `failed`. */
+/** Frame of an answer: `data` frames in order, then `closed` or `failed`. */
 export type CallFrame = CallClosed | CallData | CallFailed;
 
-/** Programs as callers see them, wherever they live. */
+/** Operations on programs for callers, whichever instance holds the programs. */
 export interface ProgramService {
   open(request: OpenProgramRequest): Promise<Result<ProgramSummary, ZincringError>>;
   describe(reference: ProgramReference): Promise<Result<ProgramSummary, ZincringError>>;
--- a/packages/instance/src/programs/programRecord.ts
+++ b/packages/instance/src/programs/programRecord.ts
@@ -8,15 +8,15 @@
   readonly program: ProgramId;
   readonly workspace: WorkspaceName;
   readonly policy: string;
-  /** Most tokens over the whole program. */
+  /** Maximum number of tokens of the program in total. */
   readonly tokens: number;
-  /** Most calls over the whole program. */
+  /** Maximum number of calls of the program in total. */
   readonly calls: number;
   /** Time without a call after which the program ends. */
   readonly idleMilliseconds: number;
   /** Age at which the program ends. */
   readonly lifetimeMilliseconds: number;
-  /** Tokens that may be spent once the record is durable. */
+  /** Total tokens of the program that may be spent once the record is durable. */
   readonly allowance: number;
 }
 
@@ -28,53 +28,54 @@
   readonly requestDigest: string;
 }
 
-/** A call made a turn. */
+/** A call added a turn. */
 export interface TurnRecord {
   readonly type: 'turn';
   readonly program: ProgramId;
   readonly call: CallId;
-  /** The call whose branch the turn belongs to; `null` for the program itself. */
+  /** Call to whose branch the turn belongs; `null` for the branch of the program itself. */
   readonly parentCall: CallId | null;
   /** Number of the turn within its branch. */
   readonly turn: number;
   readonly service: ServiceName;
   readonly request: string;
-  /** Digest of the whole request, by which a resend is told from another request. */
+  /** Digest of the complete request; distinguishes a resend from a different request. */
   readonly requestDigest: string;
   readonly answer: string;
   readonly usage: CallUsage;
   readonly upstreamStatus: number;
-  /** Digest of the history of the branch. */
+  /** Digest of the history of the branch, including this turn. */
   readonly digest: HistoryDigest;
-  /** Age of the program as its holder counts it. */
+  /** Age of the program according to its holder. */
   readonly ageMilliseconds: number;
-  /** Tokens of the whole program that may be spent once the record is durable. */
+  /** Total tokens of the program that may be spent once the record is durable. */
   readonly allowance: number;
 }
 
-/** More tokens may be spent than earlier records allow. */
+/** The allowance of tokens was raised. */
 export interface ReservedRecord {
   readonly type: 'reserved';
   readonly program: ProgramId;
+  /** Total tokens of the program that may be spent once the record is durable. */
   readonly allowance: number;
 }
 
-/** A call without a turn used tokens, or may have. */
+/** A call that added no turn used tokens, or may have used them. */
 export interface SpentRecord {
   readonly type: 'spent';
   readonly program: ProgramId;
-  /** Tokens that the program has used in all, so that the record may be applied twice. */
+  /** Total tokens that the program has used; a total, so that the record can be applied twice. */
   readonly usedTokens: number;
 }
 
-/** A non-idempotent call ended without a turn, and it is known that it did not run. */
+/** A non-idempotent call ended without a turn and is known not to have run. */
 export interface AbandonedRecord {
   readonly type: 'abandoned';
   readonly program: ProgramId;
   readonly call: CallId;
 }
 
-/** Why a program ended. */
+/** Reason for the end of a program. */
 export type EndReason = 'asked' | 'idle' | 'lifetime';
 
 /** A program ended. */
@@ -84,13 +85,13 @@
   readonly reason: EndReason;
 }
 
-/** An ended program is kept no longer. */
+/** An ended program is no longer kept. */
 export interface ForgottenRecord {
   readonly type: 'forgotten';
   readonly program: ProgramId;
 }
 
-/** What the log tells of programs. */
+/** Record of the log about a program. */
 export type ProgramRecord =
   | AbandonedRecord
   | EndedRecord
@@ -106,7 +107,7 @@
   return JSON.stringify(record);
 }
 
-/** Decodes a record of the log, which only instances write. */
+/** Decodes a record of the log; not validated, as only instances write the log. */
 export function decodeProgramRecord(payload: string): ProgramRecord {
   return JSON.parse(payload) as ProgramRecord;
 }
--- a/packages/instance/src/programs/programState.ts
+++ b/packages/instance/src/programs/programState.ts
@@ -10,26 +10,27 @@
 import { BranchState } from './branchState.js';
 import { TokenBudget } from './tokenBudget.js';
 
-/** The durable part of a program, as snapshots keep it. */
+/** Durable state of a program, as snapshots store it. */
 export interface ProgramSnapshot {
   readonly opened: OpenedRecord;
-  /** Turns of all branches, each branch in order. */
+  /** Turns of all branches; those of one branch are in order. */
   readonly turns: readonly TurnRecord[];
+  /** Calls with a stored intent, with the digests of their requests. */
   readonly intents: readonly (readonly [CallId, string])[];
   readonly hasEnded: boolean;
   readonly budget: TokenBudgetSnapshot;
   readonly ageMilliseconds: number;
 }
 
-/** What is known of a call id. */
+/** State of a call by its id: `done` with its turn, `intended` without a turn yet, or unknown. */
 export type KnownCall =
   | { readonly status: 'done'; readonly turn: TurnRecord }
   | { readonly status: 'intended'; readonly requestDigest: string }
   | { readonly status: 'unknown' };
 
 /**
- * The state of one program, made by its records alone: replaying the same records gives the
- * same state.
+ * State of one program. Its durable part results from the program's records alone: replaying the
+ * same records gives the same state.
  */
 export class ProgramState {
   private readonly branches = new Map<CallId | null, BranchState>();
@@ -37,11 +38,11 @@
   private readonly intents = new Map<CallId, string>();
   private readonly startedCalls = new Set<CallId>();
   private ended = false;
-  private attained = 0;
+  private attainedCost = 0;
   private openingIsDurable = false;
-  /** Tokens that the program may spend. */
+  /** Token budget of the program. */
   public readonly budget: TokenBudget;
-  /** Age that the last record tells. */
+  /** Highest age of the program that a record or snapshot contains. */
   public recordedAgeMilliseconds = 0;
 
   public constructor(public readonly opened: OpenedRecord) {
@@ -69,48 +70,51 @@
     return this.opened.program;
   }
 
-  /** Whether the program takes no more calls. */
+  /** Whether the program accepts no more calls. */
   public get hasEnded(): boolean {
     return this.ended;
   }
 
-  /** Whether the program is known to survive the loss of every instance. */
+  /** Whether the record of the program's opening is durable. */
   public get isOpeningDurable(): boolean {
     return this.openingIsDurable;
   }
 
-  /** Calls that the budget still allows. */
+  /** Number of calls that the program may still start. */
   public get callsLeft(): number {
     const unfinished = new Set([...this.intents.keys(), ...this.startedCalls]);
     return Math.max(0, this.opened.calls - this.turnsByCall.size - unfinished.size);
   }
 
-  /** What a caller may know. */
+  /** Summary for callers. */
   public get summary(): ProgramSummary {
-    const root = this.branch(null);
+    const programBranch = this.getBranch(null);
     return {
       callsLeft: this.callsLeft,
-      digest: root.digest,
-      durableTurn: root.durableTurn,
+      digest: programBranch.digest,
+      durableTurn: programBranch.durableTurn,
       hasEnded: this.ended,
       policy: this.opened.policy,
       program: this.opened.program,
       tokensLeft: this.budget.left,
-      turn: root.turn,
+      turn: programBranch.turn,
     };
   }
 
-  /** The branch of the calls that sub-agents make for a call; of the program itself for `null`. */
-  public branch(parentCall: CallId | null): BranchState {
+  /**
+   * Returns the branch of the calls that sub-agents make for a call, or that of the program itself
+   * for `null`. A branch without turns is returned empty and not stored.
+   */
+  public getBranch(parentCall: CallId | null): BranchState {
     return this.branches.get(parentCall) ?? new BranchState(this.program, parentCall);
   }
 
-  /** Service that the program has had, in the unit of the fair queue. */
+  /** Service that the program has attained, in the cost unit of the fair queue. */
   public get attainedTokens(): number {
-    return this.attained;
+    return this.attainedCost;
   }
 
-  /** What is known of a call id. */
+  /** Finds the state of a call by its id. */
   public findCall(call: CallId): KnownCall {
     const turn = this.turnsByCall.get(call);
     if (turn !== undefined) {
@@ -122,12 +126,12 @@
       : { requestDigest, status: 'intended' };
   }
 
-  /** Counts a call that starts to run against the budget of calls. */
+  /** Counts a call that starts to run against the maximum number of calls. */
   public startCall(call: CallId): void {
     this.startedCalls.add(call);
   }
 
-  /** Ends what {@link ProgramState.startCall} began. */
+  /** Ends the count of {@link ProgramState.startCall} and releases the call's reserved tokens. */
   public finishCall(call: CallId): void {
     this.startedCalls.delete(call);
     this.budget.release(call);
@@ -152,7 +156,7 @@
         this.budget.grant(record.allowance);
         return;
       case 'spent':
-        this.budget.spendUpTo(record.usedTokens);
+        this.budget.raiseUsedTo(record.usedTokens);
         return;
       case 'ended':
         this.ended = true;
@@ -160,8 +164,8 @@
     }
   }
 
-  /** Notes that a record is durable and that this holder may say so. */
-  public noteDurable(record: ProgramRecord): void {
+  /** Records that a record is durable and that this holder may report it as durable. */
+  public recordDurable(record: ProgramRecord): void {
     switch (record.type) {
       case 'opened':
         this.openingIsDurable = true;
@@ -171,7 +175,7 @@
         this.budget.confirm(record.allowance);
         return;
       case 'turn': {
-        const branch = this.branch(record.parentCall);
+        const branch = this.getBranch(record.parentCall);
         branch.durableTurn = Math.max(branch.durableTurn, record.turn);
         this.budget.confirm(record.allowance);
         return;
@@ -185,7 +189,10 @@
     }
   }
 
-  /** Begins a new holder's work: all that was recovered is durable, all that was allowed spent. */
+  /**
+   * Adjusts the recovered state for a new holder: everything recovered is durable, and the complete
+   * allowance of the earlier holder counts as spent.
+   */
   public startUnderNewHolder(): void {
     this.openingIsDurable = true;
     for (const branch of this.branches.values()) {
@@ -194,7 +201,11 @@
     this.budget.startUnderNewHolder();
   }
 
-  /** The form that snapshots keep. */
+  /**
+   * Creates the form that snapshots store.
+   *
+   * @param isHandedOver whether no call is running and this holder will start no more
+   */
   public toSnapshot(ageMilliseconds: number, isHandedOver: boolean): ProgramSnapshot {
     return {
       ageMilliseconds,
@@ -207,14 +218,14 @@
   }
 
   private applyTurn(record: TurnRecord): void {
-    const branch = this.branch(record.parentCall);
+    const branch = this.getBranch(record.parentCall);
     const isNew = branch.extend(record);
     this.branches.set(record.parentCall, branch);
     this.intents.delete(record.call);
     this.turnsByCall.set(record.call, record);
     if (isNew) {
       this.budget.spend(record.usage.promptTokens + record.usage.outputTokens);
-      this.attained += callCost(estimateTokens(record.request), record.usage.outputTokens);
+      this.attainedCost += callCost(estimateTokens(record.request), record.usage.outputTokens);
     }
     this.budget.grant(record.allowance);
     this.recordedAgeMilliseconds = Math.max(this.recordedAgeMilliseconds, record.ageMilliseconds);
--- a/packages/instance/src/programs/runningCall.ts
+++ b/packages/instance/src/programs/runningCall.ts
@@ -4,40 +4,44 @@
 
 import { ZincringError as ZincringErrorClass } from '@zincring/core';
 
-/** Where a call is in its life. */
+/** Phase of a call. */
 export type RunningCallPhase = 'over' | 'queued' | 'running';
 
 /**
- * The answer of a call while it is made: it can be followed by any number of readers, each from
- * an offset of its own.
+ * A queued or running call and its answer so far. Any number of readers can follow the answer, each
+ * from its own offset.
  */
 export class RunningCall {
   private phase: RunningCallPhase = 'queued';
-  private readonly abortion = new AbortController();
-  private readonly parts: Uint8Array[] = [];
-  private size = 0;
-  private end: Exclude<CallFrame, { kind: 'data' }> | undefined;
-  private wakeReaders: () => void = () => undefined;
-  private changed: Promise<void> = this.renewSignal();
+  private readonly abortController = new AbortController();
+  private readonly chunks: Uint8Array[] = [];
+  private byteLength = 0;
+  private endFrame: Exclude<CallFrame, { kind: 'data' }> | undefined;
+  private resolveChanged: () => void = () => undefined;
+  private changed: Promise<void> = this.createChangePromise();
 
   public constructor(
     public readonly request: CallRequest,
-    /** Digest of the request, by which a resend is told from another request. */
+    /** Digest of the request; distinguishes a resend from a different request. */
     public readonly requestDigest: string,
   ) {}
 
-  /** Aborted when the call is given up. */
+  /** Signal that is aborted when the call is. */
   public get signal(): AbortSignal {
-    return this.abortion.signal;
+    return this.abortController.signal;
   }
 
-  /** Whether the answer has ended, so that nothing may be sent for the call any more. */
-  public get isOver(): boolean {
+  /** Whether the answer has ended, after which no request may be sent for the call. */
+  public get isFinished(): boolean {
     return this.phase === 'over';
   }
 
-  /** Moves the call from the queue to running; `false` when it was given up before. */
-  public begin(): boolean {
+  /**
+   * Changes the phase from queued to running.
+   *
+   * @returns `false` if the call has already finished
+   */
+  public start(): boolean {
     if (this.phase !== 'queued') {
       return false;
     }
@@ -45,101 +49,101 @@
     return true;
   }
 
-  /** Ends a call that still waits, which certainly did not run. */
-  public refuseQueued(error: ZincringError): void {
+  /** Ends the call if it is still queued, in which case it has certainly not run. */
+  public refuseIfQueued(error: ZincringError): void {
     if (this.phase === 'queued') {
       this.finish({ error, kind: 'failed' });
     }
   }
 
-  /** Gives the call up: what is sent is cancelled, and nothing more will be sent. */
+  /** Aborts the call: its request in flight is cancelled, and no other one will be sent. */
   public abort(error: ZincringError): void {
     this.finish({ error, kind: 'failed' });
-    this.abortion.abort(new DOMException(error.message, 'AbortError'));
+    this.abortController.abort(new DOMException(error.message, 'AbortError'));
   }
 
-  /** Ends the call because the shard has, or may have, another holder. */
+  /** Ends the call because another holder has, or may have, acquired the shard. */
   public interrupt(): void {
-    this.refuseQueued(new ZincringErrorClass('shard-unavailable'));
+    this.refuseIfQueued(new ZincringErrorClass('shard-unavailable'));
     this.abort(new ZincringErrorClass('call-interrupted'));
   }
 
-  /** Ends the call because the key under which it came was withdrawn. */
-  public withdraw(): void {
-    this.refuseQueued(new ZincringErrorClass('key-rejected'));
+  /** Ends the call because the key that authenticated it was withdrawn. */
+  public endOnKeyWithdrawal(): void {
+    this.refuseIfQueued(new ZincringErrorClass('key-rejected'));
     this.abort(new ZincringErrorClass('key-withdrawn-while-running'));
   }
 
-  /** Bytes of the answer so far. */
+  /** Length of the answer so far, in bytes. */
   public get length(): number {
-    return this.size;
+    return this.byteLength;
   }
 
-  /** Adds to the answer. */
+  /** Appends data to the answer unless it has ended. */
   public append(data: Uint8Array): void {
-    if (this.isOver) {
+    if (this.isFinished) {
       return;
     }
-    this.parts.push(data);
-    this.size += data.length;
-    this.wake();
+    this.chunks.push(data);
+    this.byteLength += data.length;
+    this.notifyReaders();
   }
 
-  /** Ends the answer. */
-  public finish(end: Exclude<CallFrame, { kind: 'data' }>): void {
-    this.end ??= end;
+  /** Ends the answer; only the first end counts. */
+  public finish(endFrame: Exclude<CallFrame, { kind: 'data' }>): void {
+    this.endFrame ??= endFrame;
     this.phase = 'over';
-    this.wake();
+    this.notifyReaders();
   }
 
-  /** The whole answer so far as text. */
+  /** Returns the answer so far as text. */
   public text(): string {
-    return Buffer.concat(this.parts).toString('utf8');
+    return Buffer.concat(this.chunks).toString('utf8');
   }
 
   /** Waits for the end of the answer. */
-  public async ended(): Promise<void> {
-    while (!this.isOver) {
+  public async waitForEnd(): Promise<void> {
+    while (!this.isFinished) {
       await this.changed;
     }
   }
 
-  /** Follows the answer from an offset to its end. */
+  /** Yields the frames of the answer from an offset until its end. */
   public async *follow(fromOffset: number): AsyncGenerator<CallFrame> {
-    let part = 0;
+    let chunkIndex = 0;
     let offset = 0;
     for (;;) {
       const changed = this.changed;
-      for (; part < this.parts.length; part++) {
-        const data = this.parts[part] ?? new Uint8Array();
-        const skipped = Math.min(data.length, Math.max(0, fromOffset - offset));
-        if (skipped < data.length) {
-          yield { data: data.subarray(skipped), kind: 'data', offset: offset + skipped };
+      for (; chunkIndex < this.chunks.length; chunkIndex++) {
+        const data = this.chunks[chunkIndex] ?? new Uint8Array();
+        const skippedBytes = Math.min(data.length, Math.max(0, fromOffset - offset));
+        if (skippedBytes < data.length) {
+          yield { data: data.subarray(skippedBytes), kind: 'data', offset: offset + skippedBytes };
         }
         offset += data.length;
       }
-      if (this.end !== undefined && part === this.parts.length) {
-        yield this.end;
+      if (this.endFrame !== undefined && chunkIndex === this.chunks.length) {
+        yield this.endFrame;
         return;
       }
       await changed;
     }
   }
 
-  private wake(): void {
-    const wake = this.wakeReaders;
-    this.changed = this.renewSignal();
-    wake();
+  private notifyReaders(): void {
+    const resolveChanged = this.resolveChanged;
+    this.changed = this.createChangePromise();
+    resolveChanged();
   }
 
-  private async renewSignal(): Promise<void> {
+  private async createChangePromise(): Promise<void> {
     await new Promise<void>(resolve => {
-      this.wakeReaders = resolve;
+      this.resolveChanged = resolve;
     });
   }
 }
 
-/** Replays a finished answer from an offset. */
+/** Yields the frames of a finished answer from an offset. */
 export async function* replayAnswer(
   answer: string,
   fromOffset: number,
--- a/packages/instance/src/programs/shardPrograms.ts
+++ b/packages/instance/src/programs/shardPrograms.ts
@@ -5,22 +5,22 @@
 
 import { ProgramState } from './programState.js';
 
-/** When things happened to a program, on the monotonic clock of this holder. */
+/** Times of a program's events on the monotonic clock of this holder, in milliseconds. */
 interface ProgramTimes {
-  /** Moment at which the program had age zero; it may lie before the clock's zero. */
+  /** Time at which the program had age 0; negative if that was before the clock's zero. */
   readonly openedAt: number;
-  usedAt: number;
+  lastUsedAt: number;
   endedAt: number | undefined;
 }
 
 /** The programs of one shard. */
 export class ShardPrograms {
   private readonly programs = new Map<ProgramId, ProgramState>();
-  private readonly times = new Map<ProgramId, ProgramTimes>();
+  private readonly timesByProgram = new Map<ProgramId, ProgramTimes>();
 
   public constructor(private readonly timers: TimerService) {}
 
-  /** Number of programs, ended ones included until they are forgotten. */
+  /** Number of programs, including ended ones until they are forgotten. */
   public get size(): number {
     return this.programs.size;
   }
@@ -40,23 +40,23 @@
     return this.programs.get(program);
   }
 
-  /** Every program. */
+  /** Returns all programs, including ended ones until they are forgotten. */
   public all(): readonly ProgramState[] {
     return [...this.programs.values()];
   }
 
-  /** Number of programs of a workspace that have not ended. */
+  /** Counts the programs of a workspace that have not ended. */
   public countOpen(workspace: WorkspaceName): number {
     return this.all().filter(state => state.opened.workspace === workspace && !state.hasEnded)
       .length;
   }
 
-  /** Applies a record; a second `opened` of a program changes nothing. */
+  /** Applies a record; a second `opened` record of a program has no effect. */
   public apply(record: ProgramRecord): void {
     const { program } = record;
     if (record.type === 'forgotten') {
       this.programs.delete(program);
-      this.times.delete(program);
+      this.timesByProgram.delete(program);
       return;
     }
     if (record.type === 'opened' && !this.programs.has(program)) {
@@ -65,62 +65,67 @@
     const state = this.programs.get(program);
     state?.apply(record);
     if (state !== undefined && record.type === 'ended') {
-      this.timesOf(state).endedAt ??= this.timers.now();
+      this.getTimes(state).endedAt ??= this.timers.now();
     }
   }
 
-  /** Begins a new holder's work on what was recovered. */
+  /** Adjusts the recovered programs for a new holder; their idle times start again. */
   public startUnderNewHolder(): void {
-    this.times.clear();
+    this.timesByProgram.clear();
     for (const state of this.programs.values()) {
       state.startUnderNewHolder();
-      this.timesOf(state);
+      this.getTimes(state);
     }
   }
 
-  /** Notes that a program was used. */
-  public touch(state: ProgramState): void {
-    this.timesOf(state).usedAt = this.timers.now();
+  /** Records that a program was used now. */
+  public recordUse(state: ProgramState): void {
+    this.getTimes(state).lastUsedAt = this.timers.now();
   }
 
-  /** Age of a program, as far as its holders have counted it. */
-  public ageOf(state: ProgramState): number {
-    return this.timers.now() - this.timesOf(state).openedAt;
+  /**
+   * Returns the age of a program. A new holder continues from the age in the last turn or snapshot,
+   * so the time between that and the takeover does not count.
+   */
+  public getAgeMilliseconds(state: ProgramState): number {
+    return this.timers.now() - this.getTimes(state).openedAt;
   }
 
-  /** Time since a program was used. */
-  public idleTimeOf(state: ProgramState): number {
-    return this.timers.now() - this.timesOf(state).usedAt;
+  /** Returns the time since a program was last used. */
+  public getIdleMilliseconds(state: ProgramState): number {
+    return this.timers.now() - this.getTimes(state).lastUsedAt;
   }
 
-  /** Time since a program ended. */
-  public endedTimeOf(state: ProgramState): number {
-    const { endedAt } = this.timesOf(state);
+  /** Returns the time since a program ended; 0 if it has not. */
+  public getMillisecondsSinceEnd(state: ProgramState): number {
+    const { endedAt } = this.getTimes(state);
     return endedAt === undefined ? 0 : this.timers.now() - endedAt;
   }
 
   /**
    * Encodes a snapshot.
    *
-   * @param isHandedOver whether nothing runs and this holder will do no more
+   * @param isHandedOver whether no call is running and this holder will start no more
    */
   public encode(isHandedOver: boolean): Uint8Array {
-    const snapshots = this.all().map(state => state.toSnapshot(this.ageOf(state), isHandedOver));
+    const snapshots = this.all().map(state =>
+      state.toSnapshot(this.getAgeMilliseconds(state), isHandedOver),
+    );
     return Buffer.from(JSON.stringify(snapshots));
   }
 
-  private timesOf(state: ProgramState): ProgramTimes {
-    const known = this.times.get(state.program);
-    if (known !== undefined) {
-      return known;
+  private getTimes(state: ProgramState): ProgramTimes {
+    const knownTimes = this.timesByProgram.get(state.program);
+    if (knownTimes !== undefined) {
+      return knownTimes;
     }
     const now = this.timers.now();
     const times: ProgramTimes = {
       endedAt: state.hasEnded ? now : undefined,
       openedAt: now - state.recordedAgeMilliseconds,
-      usedAt: now,
+      lastUsedAt: now,
     };
-    this.times.set(state.program, times);
+    this.timesByProgram.set(state.program, times);
     return times;
   }
 }
--- a/packages/instance/src/programs/shardStore.ts
+++ b/packages/instance/src/programs/shardStore.ts
@@ -8,30 +8,31 @@
 import { decodeProgramRecord } from './programRecord.js';
 import { ShardPrograms } from './shardPrograms.js';
 
-const STORE_ATTEMPTS = 5;
-const STORE_PAUSE_MILLISECONDS = 200;
-const NAME_DIGITS = 12;
+const MAXIMUM_STORE_ATTEMPTS = 5;
+const STORE_RETRY_DELAY_MILLISECONDS = 200;
+/** Width to which numbers in names are padded, so that names sort by epoch and number. */
+const DIGITS_PER_NUMBER = 12;
 const NAMES_PER_PAGE = 100;
 
-/** Snapshots of shards in the object store, and the replay of the log that follows them. */
+/** Stores and restores snapshots of shards, and replays the log that continues a snapshot. */
 export class ShardStore {
-  private readonly logs: LogReader;
-  private lastNumber = 0;
+  private readonly logReader: LogReader;
+  private lastSnapshotNumber = 0;
 
   public constructor(
     private readonly objects: ObjectStore,
     private readonly timers: TimerService,
   ) {
-    this.logs = new LogReader(objects);
+    this.logReader = new LogReader(objects);
   }
 
-  /** Restores the state that a reference stands for; throws when the store cannot be read. */
+  /** Restores the state at a location; throws if the store cannot be read. */
   public async load(shard: ShardId, reference: ShardStateReference): Promise<ShardPrograms> {
     const programs = await this.loadSnapshot(reference.snapshot);
     if (reference.log === null) {
       return programs;
     }
-    const records = (await this.logs.read(reference.log, shard)).unwrap();
+    const records = (await this.logReader.read(reference.log, shard)).unwrap();
     for (const record of records) {
       programs.apply(decodeProgramRecord(record.payload));
     }
@@ -39,7 +40,7 @@
   }
 
   /**
-   * Stores a snapshot; throws when the store cannot be written.
+   * Stores a snapshot; throws if the store cannot be written.
    *
    * @returns the name of the object, or `null` for a shard without programs
    */
@@ -52,12 +53,12 @@
     if (programs.size === 0) {
       return null;
     }
-    // Numbers are never used twice under one epoch: each object is written by one attempt only.
-    this.lastNumber++;
-    const name = snapshotName(shard, epoch, this.lastNumber);
+    // A number is never reused under one epoch, so no two snapshots are written to the same name.
+    this.lastSnapshotNumber++;
+    const name = formatSnapshotName(shard, epoch, this.lastSnapshotNumber);
     const outcome = await putSettled(this.objects, name, programs.encode(isHandedOver), {
-      attempts: STORE_ATTEMPTS,
-      pauseMilliseconds: STORE_PAUSE_MILLISECONDS,
+      attempts: MAXIMUM_STORE_ATTEMPTS,
+      pauseMilliseconds: STORE_RETRY_DELAY_MILLISECONDS,
       timers: this.timers,
     });
     if (outcome.unwrap() === 'exists') {
@@ -67,24 +68,24 @@
   }
 
   /**
-   * Deletes the snapshots of a shard that are older than one under which the row is known to
-   * stand: the row names that one or a later one, now and for ever.
+   * Deletes the snapshots of a shard that are older than a snapshot known to be named in the
+   * shard's row. The row names that snapshot or a later one from then on.
    */
   public async deleteOlder(shard: ShardId, epoch: Epoch, current: string | null): Promise<void> {
-    const bound = current ?? snapshotName(shard, epoch, 0);
+    const oldestKeptName = current ?? formatSnapshotName(shard, epoch, 0);
     for (;;) {
       const page = await this.objects.list({
         limit: NAMES_PER_PAGE,
-        prefix: snapshotPrefix(shard),
+        prefix: formatSnapshotPrefix(shard),
       });
-      const older = page.ok ? page.val.names.filter(name => name < bound) : [];
-      for (const name of older) {
+      const olderNames = page.ok ? page.val.names.filter(name => name < oldestKeptName) : [];
+      for (const name of olderNames) {
         const deleted = await this.objects.delete(name);
         if (deleted.err) {
           return;
         }
       }
-      if (older.length < NAMES_PER_PAGE) {
+      if (olderNames.length < NAMES_PER_PAGE) {
         return;
       }
     }
@@ -102,11 +103,11 @@
   }
 }
 
-function snapshotPrefix(shard: ShardId): string {
+function formatSnapshotPrefix(shard: ShardId): string {
   return `snapshot/${shard}/`;
 }
 
-function snapshotName(shard: ShardId, epoch: Epoch, number: number): string {
-  const digits = (value: number): string => String(value).padStart(NAME_DIGITS, '0');
-  return `${snapshotPrefix(shard)}${digits(epoch)}-${digits(number)}`;
+function formatSnapshotName(shard: ShardId, epoch: Epoch, number: number): string {
+  const formatNumber = (value: number): string => String(value).padStart(DIGITS_PER_NUMBER, '0');
+  return `${formatSnapshotPrefix(shard)}${formatNumber(epoch)}-${formatNumber(number)}`;
 }
--- a/packages/instance/src/programs/tokenBudget.ts
+++ b/packages/instance/src/programs/tokenBudget.ts
@@ -1,76 +1,88 @@
 import type { CallId } from '@zincring/core';
 
-/** The share of what is left that is reserved in the log ahead of use. */
-const AHEAD_SHARE = 8;
+/** Divisor of the remaining tokens: 1/8 of them is allowed in the log ahead of use. */
+const ADVANCE_SHARE_DIVISOR = 8;
 
-/** The tokens of a budget as snapshots keep them. */
+/** Token budget, as snapshots store it. */
 export interface TokenBudgetSnapshot {
+  /** Tokens counted as used. */
   readonly settled: number;
+  /** Tokens that the holder may have spent. */
   readonly allowance: number;
 }
 
-/** The allowance with which a program of some tokens is opened. */
-export function openingAllowance(tokens: number): number {
-  return Math.ceil(tokens / AHEAD_SHARE);
+/** Computes the allowance with which a program is opened from its maximum number of tokens. */
+export function computeOpeningAllowance(tokens: number): number {
+  return Math.ceil(tokens / ADVANCE_SHARE_DIVISOR);
 }
 
-/** How a reservation ended. */
+/** Outcome of a reservation. */
 export type ReservationOutcome = 'beyond-allowance' | 'exhausted' | 'reserved';
 
 /**
- * The tokens of one program. What runs reserves its upper bound first, so that calls side by side
- * never pass the limit together. Only what the log allows may be spent: a new holder counts the
- * whole allowance of the earlier one as spent, since it cannot know what ran there.
+ * Token budget of one program. A call reserves the maximum number of tokens that it can use before
+ * it runs, so that concurrent calls never exceed the limit together. Only the allowance in the log
+ * may be spent: a new holder counts the complete allowance of the earlier one as spent, since it
+ * cannot know which calls ran there.
  */
 export class TokenBudget {
   private settled = 0;
-  private granted = 0;
-  private durable = 0;
+  private grantedAllowance = 0;
+  private durableAllowance = 0;
   private readonly reservations = new Map<CallId, number>();
 
   public constructor(private readonly limit: number) {}
 
-  /** Tokens that may still be reserved. */
+  /** Number of tokens that may still be reserved. */
   public get left(): number {
-    return Math.max(0, this.limit - this.settled - this.reserved);
+    return Math.max(0, this.limit - this.settled - this.reservedTokens);
   }
 
-  /** Tokens settled so far. */
+  /** Number of tokens counted as used. */
   public get used(): number {
     return this.settled;
   }
 
-  /** The allowance that a record should carry which settles a call, or none. */
-  public allowanceAfter(call: CallId | undefined, usedTokens: number): number {
-    const own = call === undefined ? 0 : this.reservedFor(call);
-    const spoken = this.settled + this.reserved - own + usedTokens;
-    const ahead = Math.ceil(Math.max(0, this.limit - spoken) / AHEAD_SHARE);
-    return Math.max(this.granted, Math.min(this.limit, spoken + ahead));
+  /**
+   * Computes the allowance to write to the log with a record.
+   *
+   * @param call call whose reservation the record replaces by `usedTokens`; `undefined` for none
+   */
+  public computeAllowanceAfter(call: CallId | undefined, usedTokens: number): number {
+    const ownReservation = call === undefined ? 0 : this.getReservedTokens(call);
+    const committedTokens = this.settled + this.reservedTokens - ownReservation + usedTokens;
+    const advanceTokens = Math.ceil(
+      Math.max(0, this.limit - committedTokens) / ADVANCE_SHARE_DIVISOR,
+    );
+    return Math.max(this.grantedAllowance, Math.min(this.limit, committedTokens + advanceTokens));
   }
 
-  /** The allowance that a reservation of some tokens needs. */
-  public allowanceFor(tokens: number): number {
-    return Math.max(this.allowanceAfter(undefined, 0), this.settled + this.reserved + tokens);
+  /** Computes the allowance that must be durable before the given tokens can be reserved. */
+  public computeAllowanceFor(tokens: number): number {
+    return Math.max(
+      this.computeAllowanceAfter(undefined, 0),
+      this.settled + this.reservedTokens + tokens,
+    );
   }
 
-  /** Reserves tokens for a call if budget and durable allowance have them. */
+  /** Reserves tokens for a call if the limit and the durable allowance permit it. */
   public reserve(call: CallId, tokens: number): ReservationOutcome {
     if (tokens > this.left) {
       return 'exhausted';
     }
-    if (this.settled + this.reserved + tokens > this.durable) {
+    if (this.settled + this.reservedTokens + tokens > this.durableAllowance) {
       return 'beyond-allowance';
     }
     this.reservations.set(call, tokens);
     return 'reserved';
   }
 
-  /** Tokens reserved for a call. */
-  public reservedFor(call: CallId): number {
+  /** Returns the number of tokens reserved for a call. */
+  public getReservedTokens(call: CallId): number {
     return this.reservations.get(call) ?? 0;
   }
 
-  /** Gives a reservation back. */
+  /** Releases the reservation of a call. */
   public release(call: CallId): void {
     this.reservations.delete(call);
   }
@@ -80,44 +92,47 @@
     this.settled += tokens;
   }
 
-  /** Takes over the sum of what has been used. */
-  public spendUpTo(tokens: number): void {
+  /** Raises the number of used tokens to a total. */
+  public raiseUsedTo(tokens: number): void {
     this.settled = Math.max(this.settled, tokens);
   }
 
-  /** Notes an allowance that a record carries. */
+  /** Records an allowance that a log record contains; it may not be durable yet. */
   public grant(allowance: number): void {
-    this.granted = Math.max(this.granted, allowance);
+    this.grantedAllowance = Math.max(this.grantedAllowance, allowance);
   }
 
-  /** Notes that an allowance is durable. */
+  /** Records that an allowance is durable. */
   public confirm(allowance: number): void {
-    this.durable = Math.max(this.durable, allowance);
+    this.durableAllowance = Math.max(this.durableAllowance, allowance);
   }
 
-  /** Counts all that an earlier holder was allowed as spent, and reserves ahead anew. */
+  /** Counts the complete allowance of the earlier holder as spent and sets a new allowance. */
   public startUnderNewHolder(): void {
-    this.settled = Math.max(this.settled, this.granted);
-    this.granted = this.allowanceAfter(undefined, 0);
-    this.durable = this.granted;
+    this.settled = Math.max(this.settled, this.grantedAllowance);
+    this.grantedAllowance = this.computeAllowanceAfter(undefined, 0);
+    this.durableAllowance = this.grantedAllowance;
   }
 
   /**
-   * The form that snapshots keep.
+   * Creates the form that snapshots store.
    *
-   * @param isHandedOver whether nothing runs and this holder will spend no more
+   * @param isHandedOver whether no call is running and this holder will spend no more
    */
   public toSnapshot(isHandedOver: boolean): TokenBudgetSnapshot {
-    return { allowance: isHandedOver ? this.settled : this.granted, settled: this.settled };
+    return {
+      allowance: isHandedOver ? this.settled : this.grantedAllowance,
+      settled: this.settled,
+    };
   }
 
-  /** Restores what a snapshot keeps. */
+  /** Restores the state from a snapshot. */
   public restore(snapshot: TokenBudgetSnapshot): void {
     this.settled = snapshot.settled;
-    this.granted = snapshot.allowance;
+    this.grantedAllowance = snapshot.allowance;
   }
 
-  private get reserved(): number {
+  private get reservedTokens(): number {
     let sum = 0;
     for (const tokens of this.reservations.values()) {
       sum += tokens;
--- a/packages/instance/tests/programs/interruptedHome.test.ts
+++ b/packages/instance/tests/programs/interruptedHome.test.ts
@@ -2,54 +2,81 @@
 
 import { describe, it } from 'vitest';
 
-import { Callers } from './callers.js';
-import { ProgramCluster, terms } from './programCluster.js';
+import { SimulatedCallers } from './callers.js';
+import { ProgramCluster, leaseTerms } from './programCluster.js';
 
 const PROGRAM = 'trace-1' as ProgramId;
 
-/** Moments at which the home of a running call waits for something, and some beyond. */
-const moments = Array.from({ length: 16 }, (_, moment) => moment);
-const cases = moments.flatMap(moment =>
+/**
+ * Numbers of interruption points that the home of a running call passes before it is interrupted.
+ * The highest ones lie after the end of the call.
+ */
+const interruptionPoints = Array.from({ length: 16 }, (_, interruptionPoint) => interruptionPoint);
+const cases = interruptionPoints.flatMap(interruptionPoint =>
   (['kill', 'pause'] as const).flatMap(action =>
-    [true, false].flatMap(isEffect =>
-      [0, 700].map(answerMilliseconds => ({ action, answerMilliseconds, isEffect, moment })),
+    [true, false].flatMap(hasSideEffect =>
+      [0, 700].map(answerDelayMilliseconds => ({
+        action,
+        answerDelayMilliseconds,
+        hasSideEffect,
+        interruptionPoint,
+      })),
     ),
   ),
 );
 
-describe('the home of a call is interrupted for longer than its term', () => {
+describe('when the home of a call is interrupted for longer than its lease term', () => {
   it.each(cases)(
-    '$action at moment $moment, effect: $isEffect, $answerMilliseconds ms',
-    async each => {
+    '$action at interruption point $interruptionPoint, side effect: $hasSideEffect, answers after $answerDelayMilliseconds ms',
+    async testCase => {
       const cluster = new ProgramCluster(2);
       await cluster.advance(2_000);
       await cluster.open(PROGRAM);
-      const callers = new Callers(cluster);
-      const first = await cluster.homeOf(PROGRAM);
-      const second = cluster.nodes.find(node => node !== first)!;
+      const callers = new SimulatedCallers(cluster);
+      const firstHome = await cluster.findHomeNode(PROGRAM);
+      const secondHome = cluster.nodes.find(node => node !== firstHome)!;
       for (let turn = 0; turn < 2; turn++) {
-        callers.call(PROGRAM, first, { ahead: 1, isBranch: false, isEffect: false });
+        callers.call(PROGRAM, firstHome, {
+          turnOffset: 1,
+          isSubAgentCall: false,
+          hasSideEffect: false,
+        });
         await cluster.advance(200);
       }
-      first.dispatcher.latencyMilliseconds = 100;
-      first.answerDelayMilliseconds = each.answerMilliseconds;
-      callers.call(PROGRAM, first, { ahead: 1, isBranch: false, isEffect: each.isEffect });
-      first.interruption = { action: each.action, remainingInterruptionPoints: each.moment };
+      firstHome.dispatcher.latencyMilliseconds = 100;
+      firstHome.answerDelayMilliseconds = testCase.answerDelayMilliseconds;
+      callers.call(PROGRAM, firstHome, {
+        turnOffset: 1,
+        isSubAgentCall: false,
+        hasSideEffect: testCase.hasSideEffect,
+      });
+      firstHome.interruption = {
+        action: testCase.action,
+        remainingInterruptionPoints: testCase.interruptionPoint,
+      };
       await cluster.advance(3_000);
-      second.eligible = new Set([second.name]);
-      await cluster.advance(2 * terms.termMilliseconds);
-      // The caller sends it again, and others, to the new holder and to the old one.
-      callers.resend(2, () => second);
+      secondHome.eligible = new Set([secondHome.name]);
+      await cluster.advance(2 * leaseTerms.termMilliseconds);
+      // The caller sends the call again, and further calls, to the new holder and to the old one.
+      callers.resend(2, () => secondHome);
       await cluster.advance(300);
-      callers.call(PROGRAM, second, { ahead: 1, isBranch: false, isEffect: true });
+      callers.call(PROGRAM, secondHome, {
+        turnOffset: 1,
+        isSubAgentCall: false,
+        hasSideEffect: true,
+      });
       await cluster.advance(300);
-      first.resume();
-      callers.resend(2, () => first);
-      callers.call(PROGRAM, first, { ahead: 1, isBranch: false, isEffect: true });
-      await cluster.advance(terms.termMilliseconds);
+      firstHome.resume();
+      callers.resend(2, () => firstHome);
+      callers.call(PROGRAM, firstHome, {
+        turnOffset: 1,
+        isSubAgentCall: false,
+        hasSideEffect: true,
+      });
+      await cluster.advance(leaseTerms.termMilliseconds);
       cluster.heal();
-      await cluster.advance(4 * terms.termMilliseconds);
-      await callers.check();
+      await cluster.advance(4 * leaseTerms.termMilliseconds);
+      await callers.checkGuarantees();
     },
   );
 });
--- a/packages/instance/tests/programs/openProgramCounts.test.ts
+++ b/packages/instance/tests/programs/openProgramCounts.test.ts
@@ -7,19 +7,19 @@
 
 const utility = 'utility' as WorkspaceName;
 
-it('adds up what other instances tell, until they fall silent', () => {
+it('sums the counts announced by other instances and drops them after the retention time', () => {
   const timers = new ManualTimerService();
-  const create = (count: number): OpenProgramCounts =>
+  const createCounts = (count: number): OpenProgramCounts =>
     new OpenProgramCounts({
       countHere: () => new Map([[utility, count]]),
       keepMilliseconds: 5_000,
       timers,
     });
-  const counts = create(1);
-  counts.hear('entry-2' as InstanceId, create(2).tell());
-  counts.hear('entry-2' as InstanceId, create(3).tell());
+  const counts = createCounts(1);
+  counts.hear('entry-2' as InstanceId, createCounts(2).tell());
+  counts.hear('entry-2' as InstanceId, createCounts(3).tell());
   timers.skip(3_000);
-  counts.hear('entry-3' as InstanceId, create(4).tell());
+  counts.hear('entry-3' as InstanceId, createCounts(4).tell());
   expect(counts.countElsewhere(utility)).toBe(7);
   expect(counts.countElsewhere('other' as WorkspaceName)).toBe(0);
   timers.skip(3_000);
--- a/packages/instance/tests/programs/programCluster.ts
+++ b/packages/instance/tests/programs/programCluster.ts
@@ -30,7 +30,11 @@
 export const WORKSPACE = 'utility' as WorkspaceName;
 export const ENGINE = 'minutes-llm' as ServiceName;
 export const TICKETS = 'ticket-app' as ServiceName;
-export const terms = { marginMilliseconds: 500, renewMilliseconds: 1_000, termMilliseconds: 5_000 };
+export const leaseTerms = {
+  marginMilliseconds: 500,
+  renewMilliseconds: 1_000,
+  termMilliseconds: 5_000,
+};
 const SHARD_COUNT = 4;
 const STEP_MILLISECONDS = 50;
 const GROUP_MILLISECONDS = 5;
@@ -48,17 +52,17 @@
 `).unwrap(),
 );
 
-/** What the upstreams of all instances did. */
+/** Counts the executions and tokens of the upstreams of all instances. */
 export class UpstreamCounters {
-  /** Executions by call. */
+  /** Number of executions by call. */
   public readonly executions = new Map<string, number>();
-  /** Tokens generated and prefilled by program, whether or not their turn was kept. */
+  /** Tokens generated and prefilled by program, whether or not their turn was stored. */
   public readonly tokens = new Map<string, number>();
 }
 
-/** Upstreams that answer after a while and count what they run. */
+/** Dispatcher to simulated upstreams, which answer after a latency and count their executions. */
 class CountingDispatcher implements UpstreamDispatcher {
-  public reaction: 'answer' | 'break' | 'refuse' = 'answer';
+  public behaviour: 'answer' | 'break' | 'refuse' = 'answer';
   public latencyMilliseconds = 0;
 
   public constructor(
@@ -72,15 +76,15 @@
       yield { error: prepared.val, kind: 'failed' };
       return;
     }
-    if (this.reaction === 'refuse') {
+    if (this.behaviour === 'refuse') {
       yield { error: new ZincringError('upstream-unavailable'), kind: 'failed' };
       return;
     }
     const key = `${String(work.program)}/${work.call}`;
     this.counters.executions.set(key, (this.counters.executions.get(key) ?? 0) + 1);
-    const usage = this.count(work);
+    const usage = this.countUsage(work);
     await this.node.delayWhilePaused(sleep(this.node.timers, this.latencyMilliseconds));
-    if (this.reaction === 'break') {
+    if (this.behaviour === 'break') {
       yield { error: new ZincringError('upstream-failed'), kind: 'failed' };
       return;
     }
@@ -88,7 +92,7 @@
     yield { kind: 'done', usage };
   }
 
-  private count(work: UpstreamWork): {
+  private countUsage(work: UpstreamWork): {
     cachedTokens: number;
     outputTokens: number;
     promptTokens: number;
@@ -99,13 +103,13 @@
     const { maxTokens, segments } = work.payload;
     const promptTokens = segments.reduce((sum, text) => sum + Math.ceil(text.length / 4), 0);
     const program = String(work.program);
-    const spent = this.counters.tokens.get(program) ?? 0;
-    this.counters.tokens.set(program, spent + promptTokens + maxTokens);
+    const usedTokens = this.counters.tokens.get(program) ?? 0;
+    this.counters.tokens.set(program, usedTokens + promptTokens + maxTokens);
     return { cachedTokens: 0, outputTokens: maxTokens, promptTokens };
   }
 }
 
-/** One key that all calls come under, until it is withdrawn. */
+/** Key that authenticates all calls until it is withdrawn. */
 export class WithdrawableKey {
   private readonly listeners = new Set<() => void>();
   private withdrawn = false;
@@ -131,15 +135,15 @@
   }
 }
 
-/** One instance that is the home of programs. */
+/** Simulated instance that holds shards of programs. */
 export class ProgramNode extends PausableNode {
   public readonly home: ProgramHome;
   public readonly leases: ShardLeases;
   public readonly dispatcher: CountingDispatcher;
-  public readonly key = new WithdrawableKey();
+  public readonly apiKey = new WithdrawableKey();
   public eligible: ReadonlySet<string>;
-  public readonly ended: ProgramId[] = [];
-  private incarnations = 0;
+  public readonly endedPrograms: ProgramId[] = [];
+  private incarnationCount = 0;
 
   public constructor(
     shared: SharedPlatform,
@@ -151,12 +155,12 @@
     this.eligible = new Set([name]);
     this.dispatcher = new CountingDispatcher(this, counters);
     this.home = new ProgramHome({
-      keyWatch: this.key,
+      keyWatch: this.apiKey,
       configuration: () => configuration,
       dispatcher: this.dispatcher,
       groupsPerReference: 5,
       recordsPerSnapshot: 3,
-      endListener: { onProgramEnd: program => this.ended.push(program) },
+      endListener: { onProgramEnd: program => this.endedPrograms.push(program) },
       log: new WriteAheadLog({
         groupMilliseconds: GROUP_MILLISECONDS,
         incarnation: `${name}.log` as IncarnationId,
@@ -174,35 +178,35 @@
     });
     this.leases = new ShardLeases({
       address: '127.0.0.1:1',
-      createIncarnation: () => `${name}.${String(this.incarnations++)}` as IncarnationId,
+      createIncarnation: () => `${name}.${String(this.incarnationCount++)}` as IncarnationId,
       instance: name,
       logger: silentLogger,
       members: { eligible: () => this.eligible },
       owner: this.home,
       shardCount: SHARD_COUNT,
       table: this.table,
-      terms,
+      terms: leaseTerms,
       timers: this.timers,
     });
     this.home.start();
     const { objects, table } = this;
     const sweeper = new LogSweeper({ objects, shardCount: SHARD_COUNT, table });
     this.timers.every(SWEEP_MILLISECONDS, () => void sweeper.sweep());
-    this.timers.every(terms.renewMilliseconds, () => void this.leases.tick());
+    this.timers.every(leaseTerms.renewMilliseconds, () => void this.leases.tick());
   }
 
-  /** How the instance believes to stand to the shard of a program. */
-  public standingOf(program: ProgramId): string {
+  /** Returns the instance's own view of the status of its lease on the shard of a program. */
+  public getLeaseStatus(program: ProgramId): string {
     return this.isKilled ? 'none' : this.leases.status(shardOf(program, SHARD_COUNT));
   }
 }
 
-/** Several homes of programs over one platform. */
+/** Several instances that share one platform. */
 export class ProgramCluster {
   public readonly platform = createSharedPlatform();
   public readonly counters = new UpstreamCounters();
   public readonly nodes: ProgramNode[] = [];
-  private generation = 0;
+  private startCount = 0;
 
   public constructor(
     size: number,
@@ -214,14 +218,14 @@
     this.healMembership();
   }
 
-  /** Kills an instance in the middle of anything and starts another in its place. */
+  /** Kills an instance, possibly in the middle of an operation, and starts another in its place. */
   public replace(index: number): void {
     this.nodes[index]?.kill();
     this.start(index);
     this.healMembership();
   }
 
-  /** Every instance sees all that are alive. */
+  /** Lets every instance see all instances that are alive. */
   public healMembership(): void {
     const alive = this.nodes.filter(node => !node.isKilled).map(node => node.name);
     for (const node of this.nodes) {
@@ -229,25 +233,34 @@
     }
   }
 
-  /** Ends every fault. */
+  /** Ends all faults. */
   public heal(): void {
     this.healMembership();
     for (const node of this.nodes) {
-      const none = { errors: 0, latencyMilliseconds: 0, lostAnswers: 0, outage: 'none' } as const;
-      node.tableFaults.set(none);
-      node.objectFaults.set(none);
+      const noFaults = {
+        errors: 0,
+        latencyMilliseconds: 0,
+        lostAnswers: 0,
+        outage: 'none',
+      } as const;
+      node.tableFaults.set(noFaults);
+      node.objectFaults.set(noFaults);
       node.answerDelayMilliseconds = 0;
       node.nextWriteOutcome = undefined;
       node.interruption = undefined;
-      node.dispatcher.reaction = 'answer';
+      node.dispatcher.behaviour = 'answer';
       node.dispatcher.latencyMilliseconds = 0;
       node.resume();
     }
   }
 
-  /** Lets time pass everywhere. */
+  /** Advances the clocks of all instances. */
   public async advance(milliseconds: number): Promise<void> {
-    for (let passed = 0; passed < milliseconds; passed += STEP_MILLISECONDS) {
+    for (
+      let elapsedMilliseconds = 0;
+      elapsedMilliseconds < milliseconds;
+      elapsedMilliseconds += STEP_MILLISECONDS
+    ) {
       deliverLateWrites(this.platform);
       for (const node of this.nodes) {
         await node.advance(STEP_MILLISECONDS);
@@ -255,8 +268,8 @@
     }
   }
 
-  /** Lets time pass until a promise settles. */
-  public async until<Value>(promise: Promise<Value>): Promise<Value> {
+  /** Advances the clocks until a promise settles. */
+  public async advanceUntilSettled<Value>(promise: Promise<Value>): Promise<Value> {
     let isSettled = false;
     void promise.finally(() => {
       isSettled = true;
@@ -265,13 +278,15 @@
       await this.advance(STEP_MILLISECONDS);
     }
     if (!(isSettled as boolean)) {
-      throw new Error('nothing came of it in 100 s');
+      throw new Error('the promise did not settle within 100 s of simulated time');
     }
     return await promise;
   }
 
-  /** The instance that holds the shard of a program. */
-  public async homeOf(program: ProgramId): Promise<ProgramNode> {
+  /**
+   * Finds the instance that holds the shard of a program, advancing the clocks until there is one.
+   */
+  public async findHomeNode(program: ProgramId): Promise<ProgramNode> {
     for (let step = 0; step < 600; step++) {
       for (const node of this.nodes) {
         const found = await node.home.describe({ program, workspace: WORKSPACE });
@@ -282,14 +297,14 @@
       }
       await this.advance(STEP_MILLISECONDS);
     }
-    throw new Error('the program has no home');
+    throw new Error('no instance holds the shard of the program');
   }
 
-  /** Opens a program, however long it takes. */
+  /** Opens a program, retrying until it is open. */
   public async open(program: ProgramId, policy = 'trace'): Promise<void> {
     for (let attempt = 0; attempt < 100; attempt++) {
-      const node = await this.homeOf(program);
-      const opened = await this.until(
+      const node = await this.findHomeNode(program);
+      const opened = await this.advanceUntilSettled(
         node.home.open({ deadlineMilliseconds: undefined, policy, program, workspace: WORKSPACE }),
       );
       if (opened.ok) {
@@ -297,21 +312,21 @@
       }
       await this.advance(500);
     }
-    throw new Error('the program was not opened');
+    throw new Error('the program could not be opened in 100 attempts');
   }
 
   private start(index: number): void {
-    const name = `entry-${String(index)}-${String(this.generation++)}`;
+    const name = `entry-${String(index)}-${String(this.startCount++)}`;
     this.nodes[index] = new ProgramNode(this.platform, this.counters, name, this.maximumPending);
   }
 }
 
-/** A call with the usual defaults. */
-export function createCall(
+/** Creates a call with default values for all properties that are not overridden. */
+export function createCallRequest(
   program: ProgramId,
   call: string,
   turn: number,
-  changes: Partial<CallRequest> = {},
+  overrides: Partial<CallRequest> = {},
 ): CallRequest {
   return {
     body: Buffer.from(`input of ${call}`),
@@ -328,12 +343,12 @@
     timeoutMilliseconds: 30_000,
     turn,
     workspace: WORKSPACE,
-    ...changes,
+    ...overrides,
   };
 }
 
-/** The last frame of an answer. */
-export async function readEnd(
+/** Reads an answer and returns its last frame. */
+export async function readEndFrame(
   frames: AsyncIterable<CallFrame>,
 ): Promise<Exclude<CallFrame, { kind: 'data' }>> {
   for await (const frame of frames) {
@@ -341,5 +356,5 @@
       return frame;
     }
   }
-  throw new Error('the answer has no end');
+  throw new Error('the answer ended without a last frame');
 }
--- a/packages/instance/tests/programs/programFaults.test.ts
+++ b/packages/instance/tests/programs/programFaults.test.ts
@@ -3,16 +3,20 @@
 import fc from 'fast-check';
 import { describe, it } from 'vitest';
 
-import type { CallChoice } from './callers.js';
+import type { CallOptions } from './callers.js';
 import type { ProgramNode } from './programCluster.js';
 
-import { Callers } from './callers.js';
-import { ProgramCluster, terms } from './programCluster.js';
+import { SimulatedCallers } from './callers.js';
+import { ProgramCluster, leaseTerms } from './programCluster.js';
 
 const SEED = 20_261_204;
-const NODES = 3;
+const NODE_COUNT = 3;
 const programs = ['trace-1', 'trace-2', 'trace-3'] as ProgramId[];
 
+/**
+ * Fault of one node. Faults of the table or the object store apply only to that node's access;
+ * `see-few` means that the node sees itself as the only eligible instance.
+ */
 type NodeFault =
   | 'errors'
   | 'late-shard'
@@ -33,18 +37,23 @@
 
 type Step =
   | { readonly kind: 'advance'; readonly milliseconds: number }
-  | ({ readonly kind: 'call'; readonly program: number; readonly node: number } & CallChoice)
+  | ({
+      readonly kind: 'call';
+      readonly programIndex: number;
+      readonly nodeRank: number;
+    } & CallOptions)
   | {
       readonly kind: 'fault';
       readonly fault: NodeFault;
-      readonly node: number;
-      readonly program: number;
+      readonly nodeRank: number;
+      readonly programIndex: number;
     }
   | { readonly kind: 'heal' }
-  | { readonly kind: 'resend'; readonly pick: number; readonly node: number };
+  | { readonly kind: 'resend'; readonly requestIndex: number; readonly nodeRank: number };
 
-const node = fc.constantFrom(0, 0, 0, 1, 1, 2);
-const step: fc.Arbitrary<Step> = fc.oneof(
+/** Rank of a step's node in the order of `findTarget`; most steps go to the first one. */
+const nodeRank = fc.constantFrom(0, 0, 0, 1, 1, 2);
+const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   {
     arbitrary: fc.record({
       kind: fc.constant('advance' as const),
@@ -54,17 +63,21 @@
   },
   {
     arbitrary: fc.record({
-      ahead: fc.constantFrom(1, 1, 1, 2, 0),
-      isBranch: fc.boolean(),
-      isEffect: fc.boolean(),
+      turnOffset: fc.constantFrom(1, 1, 1, 2, 0),
+      isSubAgentCall: fc.boolean(),
+      hasSideEffect: fc.boolean(),
       kind: fc.constant('call' as const),
-      node,
-      program: fc.nat({ max: programs.length - 1 }),
+      nodeRank,
+      programIndex: fc.nat({ max: programs.length - 1 }),
     }),
     weight: 8,
   },
   {
-    arbitrary: fc.record({ kind: fc.constant('resend' as const), node, pick: fc.nat() }),
+    arbitrary: fc.record({
+      kind: fc.constant('resend' as const),
+      nodeRank,
+      requestIndex: fc.nat(),
+    }),
     weight: 5,
   },
   {
@@ -89,8 +102,8 @@
         'upstream-slow',
       ),
       kind: fc.constant('fault' as const),
-      node,
-      program: fc.nat({ max: programs.length - 1 }),
+      nodeRank,
+      programIndex: fc.nat({ max: programs.length - 1 }),
     }),
     weight: 5,
   },
@@ -140,10 +153,10 @@
       target.answerDelayMilliseconds = 700;
       return;
     case 'upstream-break':
-      target.dispatcher.reaction = 'break';
+      target.dispatcher.behaviour = 'break';
       return;
     case 'upstream-refuse':
-      target.dispatcher.reaction = 'refuse';
+      target.dispatcher.behaviour = 'refuse';
       return;
     case 'upstream-slow':
       target.dispatcher.latencyMilliseconds = 2_000;
@@ -152,55 +165,66 @@
 }
 
 /**
- * The instance that a step means: mostly the home of a program, then another that believes to be
- * it, then any.
+ * Finds the node of a step by its rank: nodes that have a lease on the program's shard, by their
+ * own view, come first.
  */
-function findTarget(cluster: ProgramCluster, program: ProgramId, choice: number): ProgramNode {
-  const believers = cluster.nodes.filter(each => each.standingOf(program) !== 'none');
-  const ranked = [...believers, ...cluster.nodes.filter(each => !believers.includes(each))];
-  return ranked[choice]!;
+function findTarget(cluster: ProgramCluster, program: ProgramId, rank: number): ProgramNode {
+  const nodesWithLease = cluster.nodes.filter(node => node.getLeaseStatus(program) !== 'none');
+  const ranked = [
+    ...nodesWithLease,
+    ...cluster.nodes.filter(node => !nodesWithLease.includes(node)),
+  ];
+  return ranked[rank]!;
 }
 
-async function perform(cluster: ProgramCluster, callers: Callers, next: Step): Promise<void> {
-  switch (next.kind) {
+async function performStep(
+  cluster: ProgramCluster,
+  callers: SimulatedCallers,
+  step: Step,
+): Promise<void> {
+  switch (step.kind) {
     case 'advance':
-      await cluster.advance(next.milliseconds);
+      await cluster.advance(step.milliseconds);
       return;
     case 'call':
       callers.call(
-        programs[next.program]!,
-        findTarget(cluster, programs[next.program]!, next.node),
-        next,
+        programs[step.programIndex]!,
+        findTarget(cluster, programs[step.programIndex]!, step.nodeRank),
+        step,
       );
       return;
     case 'fault':
-      applyFault(cluster, findTarget(cluster, programs[next.program]!, next.node), next.fault);
+      applyFault(
+        cluster,
+        findTarget(cluster, programs[step.programIndex]!, step.nodeRank),
+        step.fault,
+      );
       return;
     case 'heal':
       cluster.heal();
       return;
     case 'resend':
-      callers.resend(next.pick, program => findTarget(cluster, program, next.node));
+      callers.resend(step.requestIndex, program => findTarget(cluster, program, step.nodeRank));
       return;
   }
 }
 
 describe('programs under faults', () => {
-  it('lose no durable turn, mix nothing, run effects once and keep their budgets', async () => {
+  it('keep durable turns unchanged, run side effects at most once and stay within budget', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.array(step, { maxLength: 60, minLength: 20 }), async steps => {
-        const cluster = new ProgramCluster(NODES);
-        const callers = new Callers(cluster);
+      fc.asyncProperty(fc.array(stepArbitrary, { maxLength: 60, minLength: 20 }), async steps => {
+        const cluster = new ProgramCluster(NODE_COUNT);
+        const callers = new SimulatedCallers(cluster);
         await cluster.advance(2_000);
         for (const program of programs) {
           await cluster.open(program);
         }
-        for (const next of steps) {
-          await perform(cluster, callers, next);
+        for (const step of steps) {
+          await performStep(cluster, callers, step);
         }
         cluster.heal();
-        await cluster.advance(6 * terms.termMilliseconds);
-        await callers.check();
+        await cluster.advance(6 * leaseTerms.termMilliseconds);
+        await callers.checkGuarantees();
       }),
       { numRuns: 40, seed: SEED },
     );
--- a/packages/instance/tests/programs/tokenBudget.test.ts
+++ b/packages/instance/tests/programs/tokenBudget.test.ts
@@ -19,11 +19,16 @@
     { allowance: 100, outcome: 'reserved', tokens: 100 },
     { allowance: 100, outcome: 'exhausted', tokens: 101 },
     { allowance: 50, outcome: 'beyond-allowance', tokens: 51 },
-  ])('$outcome: $tokens of 100, of which $allowance are allowed', each => {
-    expect(createBudget(100, each.allowance).reserve(one, each.tokens)).toBe(each.outcome);
-  });
-
-  it('counts calls side by side before they are settled', () => {
+  ])(
+    'a reservation of $tokens tokens of 100 with an allowance of $allowance is $outcome',
+    testCase => {
+      expect(createBudget(100, testCase.allowance).reserve(one, testCase.tokens)).toBe(
+        testCase.outcome,
+      );
+    },
+  );
+
+  it('counts the reservations of concurrent calls', () => {
     const budget = createBudget(100, 100);
     expect(budget.reserve(one, 60)).toBe('reserved');
     expect(budget.reserve(two, 60)).toBe('exhausted');
@@ -32,7 +37,7 @@
     expect(budget.reserve(two, 60)).toBe('reserved');
   });
 
-  it('has nothing left when an engine reports more than the bound of its call', () => {
+  it('has no tokens left when an engine reports more tokens than its call reserved', () => {
     const budget = createBudget(100, 100);
     budget.reserve(one, 90);
     budget.spend(130);
