--- a/packages/instance/tests/programs/interruptedHome.test.ts
+++ b/packages/instance/tests/programs/interruptedHome.test.ts
@@ -2,7 +2,7 @@
 
 import { describe, it } from 'vitest';
 
-import { SimulatedCallers } from './callers.js';
+import { SimulatedCallers } from './simulatedCallers.js';
 import { ProgramCluster, leaseTerms } from './programCluster.js';
 
 const PROGRAM = 'trace-1' as ProgramId;
--- a/packages/instance/tests/programs/programFaults.test.ts
+++ b/packages/instance/tests/programs/programFaults.test.ts
@@ -3,10 +3,10 @@
 import fc from 'fast-check';
 import { describe, it } from 'vitest';
 
-import type { CallOptions } from './callers.js';
+import type { CallOptions } from './simulatedCallers.js';
 import type { ProgramNode } from './programCluster.js';
 
-import { SimulatedCallers } from './callers.js';
+import { SimulatedCallers } from './simulatedCallers.js';
 import { ProgramCluster, leaseTerms } from './programCluster.js';
 
 const SEED = 20_261_204;
