--- a/packages/control/src/commands/apply.ts
+++ b/packages/control/src/commands/apply.ts
@@ -1,6 +1,6 @@
 import type { RuleDifference } from '@zincring/rules';
 
-import { differenceOf, parseRuleLine, ruleLines } from '@zincring/rules';
+import { diffRuleLines, parseRuleLine, parseCanonicalLines } from '@zincring/rules';
 
 import type { ChangeOptions, ControlContext } from '../context/controlContext.js';
 import type { ExitCode } from '../exitCode.js';
@@ -33,7 +33,7 @@
     return failInvalid(context, problem);
   }
   const text = await context.readFile(options.file);
-  const fileLines = ruleLines(text);
+  const fileLines = parseCanonicalLines(text);
   if (fileLines.err) {
     return failRules(context, fileLines.val);
   }
@@ -46,7 +46,7 @@
   if (baseVersion !== undefined && baseVersion !== head.version) {
     return await refuseOutdatedBase(context, baseVersion, options);
   }
-  const difference = differenceOf(lines, fileLines.val);
+  const difference = diffRuleLines(lines, fileLines.val);
   const withdrawnNames = findWithdrawnKeys(difference);
   if (withdrawnNames.length > 0 && !options.mayWithdrawKeys) {
     const names = withdrawnNames.join(', ');
--- a/packages/control/src/commands/diff.ts
+++ b/packages/control/src/commands/diff.ts
@@ -1,4 +1,4 @@
-import { differenceOf, ruleLines } from '@zincring/rules';
+import { diffRuleLines, parseCanonicalLines } from '@zincring/rules';
 
 import type { ControlContext } from '../context/controlContext.js';
 import type { ExitCode } from '../exitCode.js';
@@ -14,7 +14,7 @@
 
 /** Shows what applying a rule file would change. */
 export async function diff(context: ControlContext, options: DiffOptions): Promise<ExitCode> {
-  const fileLines = ruleLines(await context.readFile(options.file));
+  const fileLines = parseCanonicalLines(await context.readFile(options.file));
   if (fileLines.err) {
     return failRules(context, fileLines.val);
   }
@@ -22,7 +22,7 @@
   if (stored.err) {
     return failPlatform(context, stored.val);
   }
-  const difference = differenceOf(stored.val.lines, fileLines.val);
+  const difference = diffRuleLines(stored.val.lines, fileLines.val);
   const { version } = stored.val.head;
   context.output.report({
     json: { ...difference, version },
--- a/packages/control/src/controlSettings.ts
+++ b/packages/control/src/controlSettings.ts
@@ -1,7 +1,7 @@
 import type { Result } from '@zincring/core';
 
 import { Err, Ok } from '@zincring/core';
-import { nearestWord } from '@zincring/rules';
+import { findNearestWord } from '@zincring/rules';
 import { z } from 'zod';
 
 const DEFAULT_TIMEOUT_MILLISECONDS = 5_000;
@@ -35,7 +35,7 @@
   }
   const shape = issue.path.length === 0 ? settingsSchema.shape : platformSchema.shape;
   return issue.keys.map(key => {
-    const nearest = nearestWord(key, Object.keys(shape));
+    const nearest = findNearestWord(key, Object.keys(shape));
     const hint = nearest === undefined ? '' : `; did you mean "${nearest}"?`;
     return `${path}.${key}: unknown setting${hint}`;
   });
--- a/packages/coordination/src/log/writeAheadLog.ts
+++ b/packages/coordination/src/log/writeAheadLog.ts
@@ -1,4 +1,4 @@
-import type { IncarnationId, Logger, ProcessSteps, Result, TimerService } from '@zincring/core';
+import type { IncarnationId, Logger, CspGenerator, Result, TimerService } from '@zincring/core';
 import type { ObjectStore, PlatformError } from '@zincring/platform';
 
 import { Channel, Err, failureText, Ok, settle, sleep, startProcess } from '@zincring/core';
@@ -139,7 +139,7 @@
     this.queue.close();
   }
 
-  private *run(): ProcessSteps {
+  private *run(): CspGenerator {
     for (;;) {
       const first = yield* this.queue.receive();
       if (first === undefined) {
@@ -160,7 +160,7 @@
     }
   }
 
-  private *commit(group: readonly PendingRecord[]): ProcessSteps {
+  private *commit(group: readonly PendingRecord[]): CspGenerator {
     const { incarnation } = this.options;
     const sequence = this.nextSequence;
     const content = encodeGroup(group.map(pending => pending.record));
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -13,7 +13,7 @@
 export { sleep } from './time/timerService.js';
 export { SystemTimerService } from './time/systemTimerService.js';
 export { ManualTimerService } from './time/manualTimerService.js';
-export type { ProcessSteps } from './processes/channel.js';
+export type { CspGenerator } from './processes/channel.js';
 export { Channel, settle, startProcess } from './processes/channel.js';
 export {
   emptyHistoryDigest,
--- a/packages/core/src/processes/channel.ts
+++ b/packages/core/src/processes/channel.ts
@@ -7,7 +7,7 @@
 import { Err, Ok } from '../result/result.js';
 
 /** Generator that js-csp runs as a process: it yields instructions to the js-csp scheduler. */
-export type ProcessSteps<Outcome = void> = Generator<Instruction, Outcome, unknown>;
+export type CspGenerator<Outcome = void> = Generator<Instruction, Outcome, unknown>;
 
 /**
  * Bounded channel between js-csp processes. Values must be objects, because js-csp uses `null` to
@@ -51,7 +51,7 @@
   }
 
   /** Waits for the next value in a process; `undefined` once the channel is closed and empty. */
-  public *receive(): ProcessSteps<Value | undefined> {
+  public *receive(): CspGenerator<Value | undefined> {
     const value = (yield csp.take(this.cspChannel)) as Value | null;
     if (value === null) {
       return undefined;
@@ -72,7 +72,7 @@
  * @example
  * const stored = yield* settle(objectStore.putIfAbsent(name, bytes));
  */
-export function* settle<Value>(promise: Promise<Value>): ProcessSteps<Result<Value, unknown>> {
+export function* settle<Value>(promise: Promise<Value>): CspGenerator<Result<Value, unknown>> {
   const channel = csp.chan<SettledPromise<Value>>(1);
   promise.then(
     value => {
@@ -94,7 +94,7 @@
  * startProcess(function* () { … }, failure => logger.error({ failure }, 'mailbox failed'));
  */
 export function startProcess(
-  body: () => ProcessSteps,
+  body: () => CspGenerator,
   onFailure: (failure: unknown) => void,
 ): void {
   csp.go(function* guarded() {
--- a/packages/instance/src/configuration/rulesInForce.ts
+++ b/packages/instance/src/configuration/rulesInForce.ts
@@ -2,7 +2,7 @@
 import type { Change, Snapshot, Update } from '@zincring/coordination';
 import type { Configuration, RuleDifference, RuleError } from '@zincring/rules';
 
-import { differenceOf, formatRuleError, RuleSet } from '@zincring/rules';
+import { diffRuleLines, formatRuleError, RuleSet } from '@zincring/rules';
 
 import { ChangeHistory } from './changeHistory.js';
 
@@ -90,7 +90,7 @@
     const applied = rules.apply({ added: lines, removed: [] });
     this.judged = Math.max(this.judged, version);
     if (applied.err) {
-      this.block(version, applied.val, differenceOf(this.rules.lines, lines));
+      this.block(version, applied.val, diffRuleLines(this.rules.lines, lines));
       return;
     }
     this.rules = rules;
@@ -136,7 +136,7 @@
   }
 
   private putInForce(version: number): void {
-    this.inForce = this.rules.configuration(version as ConfigurationVersion);
+    this.inForce = this.rules.buildConfiguration(version as ConfigurationVersion);
     this.blockedVersion = undefined;
   }
 
--- a/packages/instance/src/lifecycle/settingsErrors.ts
+++ b/packages/instance/src/lifecycle/settingsErrors.ts
@@ -1,6 +1,6 @@
 import type { z } from 'zod';
 
-import { nearestWord } from '@zincring/rules';
+import { findNearestWord } from '@zincring/rules';
 
 import { knownKeysAt } from './describeSettings.js';
 
@@ -31,7 +31,7 @@
   }
   const names = knownKeysAt(schema, issue.path);
   return issue.keys.map(key => {
-    const nearest = nearestWord(key, names);
+    const nearest = findNearestWord(key, names);
     const hint = nearest === undefined ? '' : `; did you mean "${nearest}"?`;
     return { message: `unknown setting${hint}`, path: toJsonPath([...issue.path, key]) };
   });
--- a/packages/rules/src/nearestWord.ts
+++ b/packages/rules/src/findNearestWord.ts
@@ -11,7 +11,7 @@
  * @example
  * nearestWord('workspcae', ['workspace', 'key']); // 'workspace'
  */
-export function nearestWord(word: string, knownWords: readonly string[]): string | undefined {
+export function findNearestWord(word: string, knownWords: readonly string[]): string | undefined {
   if (knownWords.length === 0 || word.length > MAXIMUM_WORD_LENGTH) {
     return undefined;
   }
--- a/packages/rules/src/index.ts
+++ b/packages/rules/src/index.ts
@@ -13,12 +13,12 @@
 export type { RuleError } from './ruleError.js';
 export { formatRuleError } from './ruleError.js';
 export { ruleGrammars, ruleKinds } from './ruleGrammar.js';
-export { nearestWord } from './nearestWord.js';
+export { findNearestWord } from './findNearestWord.js';
 export { parseRules } from './parseRules.js';
 export { parseRuleLine } from './parseRuleLine.js';
 export { printRule, printRules } from './printRule.js';
 export type { Configuration } from './configuration.js';
 export { createConfiguration } from './configuration.js';
-export { differenceOf, ruleLines } from './ruleLines.js';
+export { diffRuleLines, parseCanonicalLines } from './ruleLines.js';
 export type { RuleChange, RuleDifference } from './ruleSet.js';
 export { RuleSet } from './ruleSet.js';
--- a/packages/rules/src/parseRuleLine.ts
+++ b/packages/rules/src/parseRuleLine.ts
@@ -5,7 +5,7 @@
 import type { Rule, RuleKind, RuleOrigin } from './rule.js';
 import type { RuleError } from './ruleError.js';
 
-import { nearestWord } from './nearestWord.js';
+import { findNearestWord } from './findNearestWord.js';
 import { buildRule, ruleGrammars, ruleKinds } from './ruleGrammar.js';
 import { SettingReader } from './settingReader.js';
 
@@ -80,7 +80,7 @@
   knownWords: readonly string[],
   word = error.found,
 ): RuleError {
-  const suggestion = nearestWord(word, knownWords);
+  const suggestion = findNearestWord(word, knownWords);
   return suggestion === undefined ? error : { ...error, suggestion };
 }
 
--- a/packages/rules/src/ruleLines.ts
+++ b/packages/rules/src/ruleLines.ts
@@ -13,7 +13,7 @@
  * @example
  * ruleLines('# head\nworkspace  a burst=1 rate=1 # b: c').unwrap(); // ['workspace a rate=1 burst=1 # b: c']
  */
-export function ruleLines(text: string): Result<readonly string[], readonly RuleError[]> {
+export function parseCanonicalLines(text: string): Result<readonly string[], readonly RuleError[]> {
   return parseRules(text).map(rules => rules.map(printRule));
 }
 
@@ -23,7 +23,7 @@
  * @example
  * differenceOf(['a', 'b'], ['b', 'c']); // { added: ['c'], removed: ['a'] }
  */
-export function differenceOf(
+export function diffRuleLines(
   current: readonly string[],
   desired: readonly string[],
 ): RuleDifference {
--- a/packages/rules/src/ruleSet.ts
+++ b/packages/rules/src/ruleSet.ts
@@ -78,7 +78,7 @@
   }
 
   /** Builds a configuration from the current rules. */
-  public configuration(version: ConfigurationVersion): Configuration {
+  public buildConfiguration(version: ConfigurationVersion): Configuration {
     return this.index.builder.build(version);
   }
 
--- a/packages/rules/tests/ruleSet.test.ts
+++ b/packages/rules/tests/ruleSet.test.ts
@@ -4,7 +4,7 @@
 import { describe, expect, it } from 'vitest';
 
 import { parseRules } from '../src/parseRules.js';
-import { differenceOf, ruleLines } from '../src/ruleLines.js';
+import { diffRuleLines, parseCanonicalLines } from '../src/ruleLines.js';
 import { RuleSet } from '../src/ruleSet.js';
 
 const SEED = 4_711;
@@ -35,15 +35,15 @@
         const rules = new RuleSet();
         let lines: readonly string[] = [];
         for (const desiredLines of lineSets) {
-          const applied = rules.apply(differenceOf(lines, desiredLines));
+          const applied = rules.apply(diffRuleLines(lines, desiredLines));
           const parsed = parseRules(desiredLines.join('\n'));
           expect(applied.ok).toBe(parsed.ok);
           lines = applied.ok ? desiredLines : lines;
           expect([...rules.lines].sort()).toEqual([...lines].sort());
           const rebuiltRules = new RuleSet();
           rebuiltRules.apply({ added: lines, removed: [] }).unwrap();
-          const incremental = rules.configuration(VERSION);
-          const rebuilt = rebuiltRules.configuration(VERSION);
+          const incremental = rules.buildConfiguration(VERSION);
+          const rebuilt = rebuiltRules.buildConfiguration(VERSION);
           for (const kind of ['keys', 'programs', 'services', 'workspaces'] as const) {
             expect([...incremental[kind].keys()].sort()).toEqual([...rebuilt[kind].keys()].sort());
           }
@@ -66,10 +66,10 @@
   it('does not change configurations that it returned before', () => {
     const rules = new RuleSet();
     rules.apply({ added: ['service s # q: r'], removed: [] }).unwrap();
-    const before = rules.configuration(VERSION);
+    const before = rules.buildConfiguration(VERSION);
     rules.apply({ added: ['service t # q: r'], removed: ['service s # q: r'] }).unwrap();
     expect([...before.services.keys()]).toEqual(['s']);
-    expect([...rules.configuration(VERSION).services.keys()]).toEqual(['t']);
+    expect([...rules.buildConfiguration(VERSION).services.keys()]).toEqual(['t']);
   });
 });
 
@@ -80,7 +80,7 @@
       'workspace a rate=1 burst=1 weight=1 programs=10000 #b: c\r\n',
       '# head\nworkspace\ta\trate=01 burst=1 # b: c',
     ];
-    expect(texts.map(text => ruleLines(text).unwrap())).toEqual(
+    expect(texts.map(text => parseCanonicalLines(text).unwrap())).toEqual(
       texts.map(() => ['workspace a rate=1 burst=1 # b: c']),
     );
   });
