--- a/packages/coordination/src/versions/versionedChanges.ts
+++ b/packages/coordination/src/versions/versionedChanges.ts
@@ -211,7 +211,7 @@
           { key: identifierKey, value: JSON.stringify({ version }) },
         ],
       },
-      { ...this.settleOptions, areRowsKept: true, proofKey: identifierKey },
+      { ...this.settleOptions, areAbsentRowsNeverDeleted: true, commitMarkerKey: identifierKey },
     );
     return outcome.map(({ status }) => status);
   }
--- a/packages/gateway/src/store/monitoredTable.ts
+++ b/packages/gateway/src/store/monitoredTable.ts
@@ -1,6 +1,6 @@
 import type { Result, TimerService } from '@zincring/core';
 import type {
-  ChangesAnswer,
+  ChangesResponse,
   ChangesRequest,
   PartitionedOutcome,
   PartitionedTable,
@@ -70,7 +70,7 @@
     return await this.observeCall('read', request.table, this.inner.read(request));
   }
 
-  public async changes(request: ChangesRequest): Promise<Result<ChangesAnswer, PlatformError>> {
+  public async changes(request: ChangesRequest): Promise<Result<ChangesResponse, PlatformError>> {
     return await this.observeCall('changes', request.table, this.inner.changes(request));
   }
 
--- a/packages/gateway/tests/support/memoryTable.ts
+++ b/packages/gateway/tests/support/memoryTable.ts
@@ -1,6 +1,6 @@
 import type { ManualTimerService, Result } from '@zincring/core';
 import type {
-  ChangesAnswer,
+  ChangesResponse,
   ChangesRequest,
   PartitionedOutcome,
   PartitionedRow,
@@ -109,7 +109,7 @@
   private async changes(
     { after, table, waitMilliseconds }: ChangesRequest,
     faults: StoreFaults,
-  ): Promise<Result<ChangesAnswer, PlatformError>> {
+  ): Promise<Result<ChangesResponse, PlatformError>> {
     const failure = await this.startCall(faults, 'unavailable');
     if (failure !== undefined) {
       return Err(failure);
--- a/packages/platform/src/directory/httpInstanceDirectory.ts
+++ b/packages/platform/src/directory/httpInstanceDirectory.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { HttpExchange } from '../http/httpClient.js';
+import type { HttpClient } from '../http/httpClient.js';
 import type { PlatformError } from '../platformError.js';
 import type { DirectoryEntry, InstanceDirectory } from './instanceDirectory.js';
 
@@ -29,10 +29,14 @@
 
 /** Instance directory that is accessed over the plain HTTP protocol of the stand-in. */
 export class HttpInstanceDirectory implements InstanceDirectory {
-  public constructor(private readonly httpClient: HttpExchange) {}
+  public constructor(private readonly httpClient: HttpClient) {}
 
   public async list(): Promise<Result<readonly DirectoryEntry[], PlatformError>> {
-    const result = await this.httpClient.send({ isRead: true, method: 'GET', path: '/instances' });
+    const result = await this.httpClient.send({
+      isRetrySafe: true,
+      method: 'GET',
+      path: '/instances',
+    });
     return result.andThen(response => parseResponse(listSchema, response, 'unavailable'));
   }
 }
--- a/packages/platform/src/http/adaptiveTimeout.ts
+++ b/packages/platform/src/http/adaptiveTimeout.ts
@@ -1,7 +1,7 @@
 /** Bounds of an {@link AdaptiveTimeout}. */
 export interface AdaptiveTimeoutOptions {
-  readonly shortestMilliseconds: number;
-  readonly longestMilliseconds: number;
+  readonly minimumMilliseconds: number;
+  readonly maximumMilliseconds: number;
 }
 
 /** Timeout as a multiple of the average response time. */
@@ -15,14 +15,14 @@
  * thus detected early, and a service that has become slow still gets enough time to respond.
  *
  * @example
- * const timeout = new AdaptiveTimeout({ longestMilliseconds: 1_500, shortestMilliseconds: 250 });
+ * const timeout = new AdaptiveTimeout({ maximumMilliseconds: 1_500, minimumMilliseconds: 250 });
  */
 export class AdaptiveTimeout {
   private averageMilliseconds = 0;
   private lowerBoundMilliseconds: number;
 
   public constructor(private readonly options: AdaptiveTimeoutOptions) {
-    this.lowerBoundMilliseconds = options.shortestMilliseconds;
+    this.lowerBoundMilliseconds = options.minimumMilliseconds;
   }
 
   /** Timeout for the next response, in milliseconds. */
@@ -31,18 +31,18 @@
       this.lowerBoundMilliseconds,
       TIMEOUT_MULTIPLE * this.averageMilliseconds,
     );
-    return Math.round(Math.min(this.options.longestMilliseconds, timeoutMilliseconds));
+    return Math.round(Math.min(this.options.maximumMilliseconds, timeoutMilliseconds));
   }
 
   /** Records the time that a response took. */
-  public noteAnswer(responseMilliseconds: number): void {
+  public recordResponse(responseMilliseconds: number): void {
     this.averageMilliseconds +=
       (responseMilliseconds - this.averageMilliseconds) * LATEST_RESPONSE_WEIGHT;
-    this.lowerBoundMilliseconds = this.options.shortestMilliseconds;
+    this.lowerBoundMilliseconds = this.options.minimumMilliseconds;
   }
 
   /** Records that no response arrived within the timeout. */
-  public noteTimeout(): void {
-    this.lowerBoundMilliseconds = Math.min(this.options.longestMilliseconds, this.milliseconds * 2);
+  public recordTimeout(): void {
+    this.lowerBoundMilliseconds = Math.min(this.options.maximumMilliseconds, this.milliseconds * 2);
   }
 }
--- a/packages/platform/src/http/httpClient.ts
+++ b/packages/platform/src/http/httpClient.ts
@@ -15,19 +15,19 @@
 }
 
 /** HTTP request to the platform. */
-export interface HttpExchangeRequest {
+export interface HttpClientRequest {
   readonly method: 'DELETE' | 'GET' | 'POST' | 'PUT';
   readonly path: string;
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: Uint8Array | string;
   /** Whether the request can safely be repeated; if so, every failure counts as `unavailable`. */
-  readonly isRead: boolean;
+  readonly isRetrySafe: boolean;
   /** Timeout for this response, in milliseconds; defaults to the timeout of the endpoint. */
   readonly timeoutMilliseconds?: number;
 }
 
 /** Complete HTTP response of the platform. */
-export interface HttpExchangeResponse {
+export interface HttpClientResponse {
   readonly status: number;
   readonly body: Buffer;
 }
@@ -43,15 +43,15 @@
  * Sends HTTP/1.1 requests to the platform over a pool of connections and classifies failures by
  * whether the request may have taken effect.
  */
-export class HttpExchange {
+export class HttpClient {
   private readonly agent = new Agent({ keepAlive: true, maxSockets: 32 });
 
   public constructor(private readonly options: PlatformEndpointOptions) {}
 
   /** Sends a request and reads the complete response. */
   public async send(
-    platformRequest: HttpExchangeRequest,
-  ): Promise<Result<HttpExchangeResponse, PlatformError>> {
+    platformRequest: HttpClientRequest,
+  ): Promise<Result<HttpClientResponse, PlatformError>> {
     try {
       const response = await this.sendOnce(platformRequest);
       if (response.status === STATUS_UNAVAILABLE || response.status === STATUS_TOO_MANY_REQUESTS) {
@@ -61,7 +61,7 @@
     } catch (failure) {
       // The idle connections may have been lost without notice, like the one that failed.
       this.destroyIdleSockets();
-      return Err(classifyFailure(failure, platformRequest.isRead));
+      return Err(classifyFailure(failure, platformRequest.isRetrySafe));
     }
   }
 
@@ -76,7 +76,7 @@
     }
   }
 
-  private async sendOnce(platformRequest: HttpExchangeRequest): Promise<HttpExchangeResponse> {
+  private async sendOnce(platformRequest: HttpClientRequest): Promise<HttpClientResponse> {
     const [host, port] = this.options.address.split(':');
     return await new Promise((resolve, reject) => {
       const outgoing = request({
@@ -114,10 +114,10 @@
   return Buffer.concat(chunks);
 }
 
-function classifyFailure(failure: unknown, isRead: boolean): PlatformError {
+function classifyFailure(failure: unknown, isRetrySafe: boolean): PlatformError {
   const code = (failure as { readonly code?: unknown } | null)?.code;
   const detail = failure instanceof Error ? failure.message : String(failure);
   // Only a refused connection guarantees that the platform never received the request.
-  const hasCertainlyNoEffect = isRead || code === 'ECONNREFUSED';
+  const hasCertainlyNoEffect = isRetrySafe || code === 'ECONNREFUSED';
   return new PlatformError(hasCertainlyNoEffect ? 'unavailable' : 'outcome-unknown', detail);
 }
--- a/packages/platform/src/http/parseResponse.ts
+++ b/packages/platform/src/http/parseResponse.ts
@@ -4,7 +4,7 @@
 import { Err, Ok } from '@zincring/core';
 
 import type { PlatformFailure } from '../platformError.js';
-import type { HttpExchangeResponse } from './httpClient.js';
+import type { HttpClientResponse } from './httpClient.js';
 
 import { PlatformError } from '../platformError.js';
 
@@ -18,7 +18,7 @@
  */
 export function parseResponse<Value>(
   schema: z.ZodType<Value>,
-  response: HttpExchangeResponse,
+  response: HttpClientResponse,
   failure: PlatformFailure,
 ): Result<Value, PlatformError> {
   if (response.status >= 400) {
--- a/packages/platform/src/index.ts
+++ b/packages/platform/src/index.ts
@@ -11,7 +11,7 @@
   TransactionOutcome,
 } from './table/tableService.js';
 export type {
-  ChangesAnswer,
+  ChangesResponse,
   ChangesRequest,
   PartitionedOutcome,
   PartitionedRow,
@@ -44,10 +44,10 @@
 export type { AdaptiveTimeoutOptions } from './http/adaptiveTimeout.js';
 export { AdaptiveTimeout } from './http/adaptiveTimeout.js';
 export type {
-  HttpExchangeRequest,
-  HttpExchangeResponse,
+  HttpClientRequest,
+  HttpClientResponse,
   PlatformEndpointOptions,
 } from './http/httpClient.js';
-export { HttpExchange } from './http/httpClient.js';
+export { HttpClient } from './http/httpClient.js';
 export type { Platform } from './platform.js';
 export { connectPlatform } from './platform.js';
--- a/packages/platform/src/objects/httpObjectStore.ts
+++ b/packages/platform/src/objects/httpObjectStore.ts
@@ -3,7 +3,7 @@
 import { Err, Ok } from '@zincring/core';
 import { z } from 'zod';
 
-import type { HttpExchange } from '../http/httpClient.js';
+import type { HttpClient } from '../http/httpClient.js';
 import type { ByteRange, ListRequest, ObjectPage, ObjectStore, PutOutcome } from './objectStore.js';
 
 import { parseResponse } from '../http/parseResponse.js';
@@ -18,7 +18,7 @@
 
 /** Object store that is accessed over the plain HTTP protocol of the stand-in. */
 export class HttpObjectStore implements ObjectStore {
-  public constructor(private readonly httpClient: HttpExchange) {}
+  public constructor(private readonly httpClient: HttpClient) {}
 
   public async putIfAbsent(
     name: string,
@@ -27,7 +27,7 @@
     const result = await this.httpClient.send({
       body: content,
       headers: { 'if-none-match': '*' },
-      isRead: false,
+      isRetrySafe: false,
       method: 'PUT',
       path: objectPath(name),
     });
@@ -47,7 +47,7 @@
       range === undefined ? {} : { range: `bytes=${range.start}-${range.end - 1}` };
     const result = await this.httpClient.send({
       headers,
-      isRead: true,
+      isRetrySafe: true,
       method: 'GET',
       path: objectPath(name),
     });
@@ -65,7 +65,7 @@
       query.set('after', request.after);
     }
     const result = await this.httpClient.send({
-      isRead: true,
+      isRetrySafe: true,
       method: 'GET',
       path: `/objects?${query.toString()}`,
     });
@@ -74,7 +74,7 @@
 
   public async delete(name: string): Promise<Result<void, PlatformError>> {
     const result = await this.httpClient.send({
-      isRead: true,
+      isRetrySafe: true,
       method: 'DELETE',
       path: objectPath(name),
     });
--- a/packages/platform/src/platform.ts
+++ b/packages/platform/src/platform.ts
@@ -4,7 +4,7 @@
 import type { TableService } from './table/tableService.js';
 
 import { HttpInstanceDirectory } from './directory/httpInstanceDirectory.js';
-import { HttpExchange } from './http/httpClient.js';
+import { HttpClient } from './http/httpClient.js';
 import { HttpObjectStore } from './objects/httpObjectStore.js';
 import { HttpTableService } from './table/httpTableService.js';
 
@@ -24,7 +24,7 @@
  * const platform = connectPlatform({ address: '127.0.0.1:4100', timeoutMilliseconds: 2_000 });
  */
 export function connectPlatform(options: PlatformEndpointOptions): Platform {
-  const httpClient = new HttpExchange(options);
+  const httpClient = new HttpClient(options);
   return {
     table: new HttpTableService(httpClient),
     objects: new HttpObjectStore(httpClient),
--- a/packages/platform/src/table/httpTableService.ts
+++ b/packages/platform/src/table/httpTableService.ts
@@ -2,7 +2,7 @@
 
 import { z } from 'zod';
 
-import type { HttpExchange } from '../http/httpClient.js';
+import type { HttpClient } from '../http/httpClient.js';
 import type { PlatformError } from '../platformError.js';
 import type {
   Row,
@@ -27,7 +27,7 @@
 
 /** Table service that is accessed over the plain HTTP protocol of the stand-in. */
 export class HttpTableService implements TableService {
-  public constructor(private readonly httpClient: HttpExchange) {}
+  public constructor(private readonly httpClient: HttpClient) {}
 
   public async read(keys: readonly string[]): Promise<Result<readonly Row[], PlatformError>> {
     const result = await this.post('/table/read', { keys }, true);
@@ -48,15 +48,11 @@
     return result.andThen(response => parseResponse(outcomeSchema, response, 'outcome-unknown'));
   }
 
-  private async post(
-    path: string,
-    body: object,
-    isRead: boolean,
-  ): ReturnType<HttpExchange['send']> {
+  private async post(path: string, body: object, isRead: boolean): ReturnType<HttpClient['send']> {
     return await this.httpClient.send({
       body: JSON.stringify(body),
       headers: { 'content-type': 'application/json' },
-      isRead,
+      isRetrySafe: isRead,
       method: 'POST',
       path,
     });
--- a/packages/platform/src/table/partitionedTable.ts
+++ b/packages/platform/src/table/partitionedTable.ts
@@ -59,7 +59,7 @@
  * Changes of a table, ordered by version; empty if none occurred during the wait. `history-lost`
  * means that changes after the requested version are no longer available.
  */
-export type ChangesAnswer =
+export type ChangesResponse =
   | { readonly kind: 'changes'; readonly changes: readonly RowChange[] }
   | { readonly kind: 'history-lost' };
 
@@ -95,7 +95,7 @@
   /** Reads a page of a range. */
   read(request: RangeRequest): Promise<Result<RangePage, PlatformError>>;
   /** Waits for changes of a table. */
-  changes(request: ChangesRequest): Promise<Result<ChangesAnswer, PlatformError>>;
+  changes(request: ChangesRequest): Promise<Result<ChangesResponse, PlatformError>>;
   /** Commits the transaction if every check holds. */
   transact(transaction: PartitionedTransaction): Promise<Result<PartitionedOutcome, PlatformError>>;
 }
--- a/packages/platform/src/table/transactSettled.ts
+++ b/packages/platform/src/table/transactSettled.ts
@@ -14,9 +14,9 @@
    * afterwards, and none writes the same value. Its value therefore shows that the transaction
    * took effect.
    */
-  readonly proofKey: string;
+  readonly commitMarkerKey: string;
   /** Whether the rows that the transaction requires to be absent are never deleted once written. */
-  readonly areRowsKept?: boolean;
+  readonly areAbsentRowsNeverDeleted?: boolean;
   /** Maximum number of attempts. */
   readonly attempts: number;
   /** Pause between attempts, in milliseconds. */
@@ -37,14 +37,14 @@
  * may have taken effect, else `unavailable`. For a commit that was detected by its marker, the rows
  * are those that still hold the written values.
  * @example
- * const outcome = await transactSettled(table, { checks, writes }, { timers, proofKey, … });
+ * const outcome = await transactSettled(table, { checks, writes }, { timers, commitMarkerKey, … });
  */
 export async function transactSettled(
   table: TableService,
   transaction: Transaction,
   options: SettleOptions,
 ): Promise<Result<TransactionOutcome, PlatformError>> {
-  requireCommitMarker(transaction, options.proofKey);
+  requireCommitMarker(transaction, options.commitMarkerKey);
   let mayHaveApplied = false;
   for (let attempt = 0; attempt < options.attempts; attempt++) {
     if (attempt > 0) {
@@ -110,10 +110,10 @@
   writtenRows: readonly Row[],
   conflict: TransactionOutcome,
 ): Result<TransactionOutcome, PlatformError> {
-  if (writtenRows.some(row => row.key === options.proofKey)) {
+  if (writtenRows.some(row => row.key === options.commitMarkerKey)) {
     return Ok({ rows: writtenRows, status: 'committed' });
   }
-  return options.areRowsKept === true || hasOutdatedCheck(transaction, conflict)
+  return options.areAbsentRowsNeverDeleted === true || hasOutdatedCheck(transaction, conflict)
     ? Ok(conflict)
     : Err(new PlatformError('outcome-unknown', 'a late attempt may still take effect'));
 }
--- a/packages/platform/tests/transactSettled.test.ts
+++ b/packages/platform/tests/transactSettled.test.ts
@@ -79,10 +79,10 @@
   const timers = new ManualTimerService();
   const settle: Setup['settle'] = async (transaction, areAbsentRowsNeverDeleted = true) => {
     const options = {
-      areRowsKept: areAbsentRowsNeverDeleted,
+      areAbsentRowsNeverDeleted,
       attempts: ATTEMPTS,
       pauseMilliseconds: 10,
-      proofKey: 'mine',
+      commitMarkerKey: 'mine',
       timers,
     };
     const pendingOutcome = transactSettled(scriptedTable, transaction, options);
--- a/packages/rules/src/findNearestWord.ts
+++ b/packages/rules/src/findNearestWord.ts
@@ -9,7 +9,7 @@
  * Finds the known word nearest to a misspelt one; returns `undefined` if none is near.
  *
  * @example
- * nearestWord('workspcae', ['workspace', 'key']); // 'workspace'
+ * findNearestWord('workspcae', ['workspace', 'key']); // 'workspace'
  */
 export function findNearestWord(word: string, knownWords: readonly string[]): string | undefined {
   if (knownWords.length === 0 || word.length > MAXIMUM_WORD_LENGTH) {
--- a/packages/rules/src/ruleLines.ts
+++ b/packages/rules/src/ruleLines.ts
@@ -11,7 +11,7 @@
  *
  * @returns the lines, or all errors with their line numbers
  * @example
- * ruleLines('# head\nworkspace  a burst=1 rate=1 # b: c').unwrap(); // ['workspace a rate=1 burst=1 # b: c']
+ * parseCanonicalLines('# head\nworkspace  a burst=1 rate=1 # b: c').unwrap(); // ['workspace a rate=1 burst=1 # b: c']
  */
 export function parseCanonicalLines(text: string): Result<readonly string[], readonly RuleError[]> {
   return parseRules(text).map(rules => rules.map(printRule));
@@ -21,7 +21,7 @@
  * Computes the difference that changes one list of canonical lines into another.
  *
  * @example
- * differenceOf(['a', 'b'], ['b', 'c']); // { added: ['c'], removed: ['a'] }
+ * diffRuleLines(['a', 'b'], ['b', 'c']); // { added: ['c'], removed: ['a'] }
  */
 export function diffRuleLines(
   current: readonly string[],
--- a/packages/rules/src/ruleSet.ts
+++ b/packages/rules/src/ruleSet.ts
@@ -26,7 +26,7 @@
  * @example
  * const rules = new RuleSet();
  * rules.apply({ added: ['workspace utility rate=50 burst=100 # dana: pilot'], removed: [] });
- * rules.configuration(version).workspaces.size; // 1
+ * rules.buildConfiguration(version).workspaces.size; // 1
  */
 export class RuleSet {
   private readonly rules = new Map<string, Rule>();
--- a/packages/rules/tests/ruleSet.test.ts
+++ b/packages/rules/tests/ruleSet.test.ts
@@ -73,7 +73,7 @@
   });
 });
 
-describe('ruleLines', () => {
+describe('parseCanonicalLines', () => {
   it('returns the same canonical line for equivalent texts', () => {
     const texts = [
       'workspace  a burst=1 rate=1.0 # b:  c',
