--- a/packages/instance/src/lifecycle/instance.ts
+++ b/packages/instance/src/lifecycle/instance.ts
@@ -118,7 +118,7 @@
     this.home = this.createHome();
     this.openPrograms = new OpenProgramCounts({
       countHere: () => this.home.countOpenByWorkspace(),
-      keepMilliseconds: settings.lease.termMilliseconds,
+      retentionMilliseconds: settings.lease.termMilliseconds,
       timers,
     });
     this.leases = this.createLeases();
--- a/packages/instance/src/operators/instanceStatus.ts
+++ b/packages/instance/src/operators/instanceStatus.ts
@@ -62,7 +62,7 @@
   }
 
   public describeProgram(program: ProgramId): ProgramReport | undefined {
-    const state = this.options.home.inspect(program);
+    const state = this.options.home.findProgramState(program);
     if (state === undefined) {
       return undefined;
     }
--- a/packages/instance/src/programs/openProgramCounts.ts
+++ b/packages/instance/src/programs/openProgramCounts.ts
@@ -8,7 +8,7 @@
   /** Counts the open programs held by this instance, by workspace. */
   readonly countHere: () => ReadonlyMap<WorkspaceName, number>;
   /** Time after which the counts of an instance that sends no more heartbeats are dropped. */
-  readonly keepMilliseconds: number;
+  readonly retentionMilliseconds: number;
 }
 
 /** Counts that another instance announced. */
@@ -40,7 +40,7 @@
 
   /** Counts the open programs of a workspace at the other instances. */
   public countElsewhere(workspace: WorkspaceName): number {
-    const oldestValid = this.options.timers.now() - this.options.keepMilliseconds;
+    const oldestValid = this.options.timers.now() - this.options.retentionMilliseconds;
     let sum = 0;
     for (const [instance, { counts, receivedAt }] of this.countsByInstance) {
       if (receivedAt < oldestValid) {
--- a/packages/instance/src/programs/programHome.ts
+++ b/packages/instance/src/programs/programHome.ts
@@ -124,7 +124,7 @@
   }
 
   /** Finds the state of a program held here, regardless of its workspace; for operators. */
-  public inspect(program: ProgramId): ProgramState | undefined {
+  public findProgramState(program: ProgramId): ProgramState | undefined {
     return this.shards.get(this.shardOf(program))?.programs.find(program);
   }
 
--- a/packages/instance/tests/programs/openProgramCounts.test.ts
+++ b/packages/instance/tests/programs/openProgramCounts.test.ts
@@ -12,7 +12,7 @@
   const createCounts = (count: number): OpenProgramCounts =>
     new OpenProgramCounts({
       countHere: () => new Map([[utility, count]]),
-      keepMilliseconds: 5_000,
+      retentionMilliseconds: 5_000,
       timers,
     });
   const counts = createCounts(1);
