--- a/packages/instance/src/callers/authentication.ts
+++ b/packages/instance/src/callers/authentication.ts
@@ -9,7 +9,7 @@
   ZincringError as ZincringErrorClass,
 } from '@zincring/core';
 
-/** Who sent a request. */
+/** Authenticated sender of a request. */
 export interface Caller {
   readonly workspace: WorkspaceRule;
   readonly keyHash: KeyHash;
@@ -18,9 +18,9 @@
 const BEARER_PATTERN = /^Bearer ([\x21-\x7e]{1,512})$/i;
 
 /**
- * Finds the workspace of the key that came with a request.
+ * Finds the workspace of the API key in a request.
  *
- * @param authorization value of the header of that name
+ * @param authorization value of the `Authorization` header
  * @example
  * const caller = authenticate(configuration, request.headers.authorization);
  */
--- a/packages/instance/src/callers/callerMessages.ts
+++ b/packages/instance/src/callers/callerMessages.ts
@@ -5,23 +5,23 @@
 
 const identifier = z.string().refine(isIdentifier, 'not an identifier');
 
-/** Longest deadline of a program: a year, in seconds. */
-const LONGEST_DEADLINE_SECONDS = 31_536_000;
+/** Maximum deadline of a program in seconds: one year. */
+const MAXIMUM_DEADLINE_SECONDS = 31_536_000;
 
 const upstreamPath = z
   .string()
   .startsWith('/')
   .max(2_048)
-  .refine(isRequestTarget, 'not a path without dot segments');
+  .refine(isValidRequestTarget, 'not a path without dot segments');
 
-/** Body of a request that opens a program. */
+/** Schema of the body of a request that opens a program. */
 export const openProgramSchema = z.strictObject({
-  deadlineSeconds: z.number().positive().max(LONGEST_DEADLINE_SECONDS).optional(),
+  deadlineSeconds: z.number().positive().max(MAXIMUM_DEADLINE_SECONDS).optional(),
   policy: identifier,
   program: identifier.optional(),
 });
 
-/** Body of a call. */
+/** Schema of the body of a call. */
 export const callSchema = z.strictObject({
   call: identifier,
   input: z.unknown().refine(input => input !== undefined, 'expected a value'),
@@ -34,8 +34,10 @@
   turn: z.number().int().min(1).max(1_000_000),
 });
 
-/** Checks a body against its schema; throws the kind `bad-request` with every problem. */
-export function checkBody<Body>(schema: z.ZodType<Body>, body: unknown): Body {
+/**
+ * Validates a body against its schema; throws the kind `bad-request`, which lists every problem.
+ */
+export function validateBody<Body>(schema: z.ZodType<Body>, body: unknown): Body {
   const parsed = schema.safeParse(body);
   if (parsed.success) {
     return parsed.data;
@@ -46,7 +48,7 @@
   throw new ZincringError('bad-request', { detail });
 }
 
-function isRequestTarget(text: string): boolean {
+function isValidRequestTarget(text: string): boolean {
   try {
     parseRequestTarget(text);
     return true;
--- a/packages/instance/src/callers/callerRouter.ts
+++ b/packages/instance/src/callers/callerRouter.ts
@@ -12,24 +12,24 @@
 import type { ServiceRoutes } from './serviceRoutes.js';
 
 import { authenticate } from './authentication.js';
-import { refuseLeakedKey } from './keyLeak.js';
+import { refuseLeakedKey } from './refuseLeakedKey.js';
 import { readBody } from './readBody.js';
 import { parseRequestTarget } from './requestTarget.js';
 
-/** What routing callers' requests needs. */
+/** Options of a {@link CallerRouter}. */
 export interface CallerRouterOptions {
   readonly configuration: () => Configuration | undefined;
   readonly admission: Admission;
   readonly keyWatch: Pick<KeyWatch, 'onWithdrawn'>;
   readonly programRoutes: ProgramRoutes;
   readonly serviceRoutes: ServiceRoutes;
-  /** Monotonic time in milliseconds. */
+  /** Returns the monotonic time in milliseconds. */
   readonly now: () => number;
-  /** Largest body accepted, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   readonly bodyLimitBytes: number;
 }
 
-/** One request with the configuration under which it is answered. */
+/** Request with the configuration that applies to it. */
 interface RoutedRequest {
   readonly configuration: Configuration;
   readonly request: IncomingMessage;
@@ -37,20 +37,20 @@
   readonly target: RequestTarget;
 }
 
-/** Stands for all callers of open routes; no workspace can be named so. */
+/** Represents all callers of open routes; the name is invalid for a configured workspace. */
 export const OPEN_WORKSPACE = '-open' as WorkspaceName;
 
-/** How long an admission counts while the body arrives, in milliseconds. */
-const ADMISSION_MILLISECONDS = 1_000;
+/** Time for which an admission stays valid while the body arrives, in milliseconds. */
+const ADMISSION_VALIDITY_MILLISECONDS = 1_000;
 
-/** Headers that a request may carry only once. */
-const SINGLE_HEADERS = ['authorization', 'content-type', 'idempotency-key'] as const;
+/** Headers that may appear only once in a request. */
+const NON_REPEATABLE_HEADERS = ['authorization', 'content-type', 'idempotency-key'] as const;
 
-/** Finds who sent a request and which route answers it. */
+/** Authenticates requests of callers and passes them to the handler of their route. */
 export class CallerRouter {
   public constructor(private readonly options: CallerRouterOptions) {}
 
-  /** Answers one request; throws the refusal. */
+  /** Handles one request; throws a `ZincringError` if it is refused. */
   public async handle(request: IncomingMessage, response: ServerResponse): Promise<void> {
     const configuration = this.options.configuration();
     if (configuration === undefined) {
@@ -59,62 +59,62 @@
     refuseRepeatedHeaders(request);
     const target = parseRequestTarget(request.url ?? '/');
     refuseLeakedKey(configuration, request.headers.authorization, {
-      headers: [request.headers['content-type'] ?? '', idempotencyKey(request) ?? ''],
+      headers: [request.headers['content-type'] ?? '', readIdempotencyKey(request) ?? ''],
       target: request.url ?? '/',
     });
     const routed: RoutedRequest = { configuration, request, response, target };
-    const [version, area, service] = target.segments;
-    if (version === 'v1' && area === 'programs') {
-      await this.handleProgram(routed);
+    const [version, resource, service] = target.segments;
+    if (version === 'v1' && resource === 'programs') {
+      await this.handleProgramRequest(routed);
       return;
     }
-    if (version === 'v1' && area === 'services' && service !== undefined) {
-      await this.handleService(routed, service as ServiceName, directPath(target));
+    if (version === 'v1' && resource === 'services' && service !== undefined) {
+      await this.handleServiceRequest(routed, service as ServiceName, pathAtService(target));
       return;
     }
-    await this.handleRoute(routed);
+    await this.handleRouteRequest(routed);
   }
 
-  private async handleProgram({
+  private async handleProgramRequest({
     configuration,
     request,
     response,
     target,
   }: RoutedRequest): Promise<void> {
-    const caller = findCaller(configuration, request);
+    const caller = authenticateCaller(configuration, request);
     const method = request.method ?? 'GET';
     const segments = target.segments.slice(2);
     this.options.programRoutes.checkRoute({ method, segments }, response);
-    const body = await this.readAdmitted(request, caller.workspace);
-    await this.watchKey(caller.keyHash, async keyWithdrawn => {
+    const body = await this.admitAndReadBody(request, caller.workspace);
+    await this.runWithWithdrawalSignal(caller.keyHash, async keyWithdrawn => {
       const routeRequest = { body, caller, keyWithdrawn, method, segments };
       await this.options.programRoutes.handle(routeRequest, response);
     });
   }
 
-  private async handleRoute(routed: RoutedRequest): Promise<void> {
+  private async handleRouteRequest(routed: RoutedRequest): Promise<void> {
     const { configuration, target } = routed;
     const path = target.pathname + target.search;
-    const route = configuration.routes.find(each => isBelow(target.pathname, each));
+    const route = configuration.routes.find(each => matchesRoute(target.pathname, each));
     if (route === undefined) {
       throw new ZincringError('not-found');
     }
     if (route.access === 'key') {
-      await this.handleService(routed, route.service, path);
+      await this.handleServiceRequest(routed, route.service, path);
       return;
     }
     const { request, response } = routed;
-    const work = this.options.serviceRoutes.prepare(
+    const prepared = this.options.serviceRoutes.prepare(
       { configuration, method: request.method ?? 'GET', service: route.service },
       response,
     );
     const body = await readBody(request, this.options.bodyLimitBytes);
     await this.options.serviceRoutes.handle(
       {
-        ...work,
+        ...prepared,
         body,
         contentType: request.headers['content-type'],
-        idempotencyKey: idempotencyKey(request),
+        idempotencyKey: readIdempotencyKey(request),
         keyWithdrawn: new AbortController().signal,
         path,
         workspace: OPEN_WORKSPACE,
@@ -123,24 +123,24 @@
     );
   }
 
-  private async handleService(
+  private async handleServiceRequest(
     { configuration, request, response }: RoutedRequest,
     service: ServiceName,
     path: string,
   ): Promise<void> {
-    const caller = findCaller(configuration, request);
-    const work = this.options.serviceRoutes.prepare(
+    const caller = authenticateCaller(configuration, request);
+    const prepared = this.options.serviceRoutes.prepare(
       { configuration, method: request.method ?? 'GET', service },
       response,
     );
-    const body = await this.readAdmitted(request, caller.workspace);
-    await this.watchKey(caller.keyHash, async keyWithdrawn => {
+    const body = await this.admitAndReadBody(request, caller.workspace);
+    await this.runWithWithdrawalSignal(caller.keyHash, async keyWithdrawn => {
       await this.options.serviceRoutes.handle(
         {
-          ...work,
+          ...prepared,
           body,
           contentType: request.headers['content-type'],
-          idempotencyKey: idempotencyKey(request),
+          idempotencyKey: readIdempotencyKey(request),
           keyWithdrawn,
           path,
           workspace: caller.workspace.name,
@@ -151,14 +151,18 @@
   }
 
   /**
-   * Admits a request before its body is read, so that a refusal costs no reading. A body that
-   * arrives slowly is admitted again after it: admissions cannot be hoarded and used at once.
+   * Admits a request before its body is read, so that the body of a refused request is not read. If
+   * the body arrives slowly, the request is admitted again after it; otherwise a caller could
+   * collect admissions with incomplete requests and then complete all of them in one burst.
    */
-  private async readAdmitted(request: IncomingMessage, workspace: WorkspaceRule): Promise<Buffer> {
+  private async admitAndReadBody(
+    request: IncomingMessage,
+    workspace: WorkspaceRule,
+  ): Promise<Buffer> {
     await this.admit(workspace);
     const admittedAt = this.options.now();
     const body = await readBody(request, this.options.bodyLimitBytes);
-    if (this.options.now() - admittedAt > ADMISSION_MILLISECONDS) {
+    if (this.options.now() - admittedAt > ADMISSION_VALIDITY_MILLISECONDS) {
       await this.admit(workspace);
     }
     return body;
@@ -171,26 +175,26 @@
     }
   }
 
-  private async watchKey(
+  private async runWithWithdrawalSignal(
     keyHash: KeyHash,
     operation: (keyWithdrawn: AbortSignal) => Promise<void>,
   ): Promise<void> {
-    const withdrawn = new AbortController();
+    const withdrawal = new AbortController();
     const subscription = this.options.keyWatch.onWithdrawn(keyHash, () => {
-      withdrawn.abort();
+      withdrawal.abort();
     });
     try {
-      if (withdrawn.signal.aborted) {
+      if (withdrawal.signal.aborted) {
         throw new ZincringError('key-rejected');
       }
-      await operation(withdrawn.signal);
+      await operation(withdrawal.signal);
     } finally {
       subscription.stop();
     }
   }
 }
 
-function findCaller(configuration: Configuration, request: IncomingMessage): Caller {
+function authenticateCaller(configuration: Configuration, request: IncomingMessage): Caller {
   const caller = authenticate(configuration, request.headers.authorization);
   if (caller.err) {
     throw caller.val;
@@ -199,7 +203,7 @@
 }
 
 function refuseRepeatedHeaders(request: IncomingMessage): void {
-  const repeated = SINGLE_HEADERS.find(
+  const repeated = NON_REPEATABLE_HEADERS.find(
     header => (request.headersDistinct[header]?.length ?? 0) > 1,
   );
   if (repeated !== undefined) {
@@ -207,18 +211,18 @@
   }
 }
 
-function idempotencyKey(request: IncomingMessage): string | undefined {
+function readIdempotencyKey(request: IncomingMessage): string | undefined {
   const value = request.headers['idempotency-key'];
   return typeof value === 'string' ? value : undefined;
 }
 
-/** Path and query at a service that is named in the path. */
-function directPath({ pathname, search }: RequestTarget): string {
+/** Extracts the path and query at the service from a target that names the service in its path. */
+function pathAtService({ pathname, search }: RequestTarget): string {
   const [, , , , ...rest] = pathname.split('/');
   return `/${rest.join('/')}${search}`;
 }
 
-function isBelow(pathname: string, { path }: RouteRule): boolean {
+function matchesRoute(pathname: string, { path }: RouteRule): boolean {
   const prefix = path.endsWith('/') ? path : `${path}/`;
   return pathname === path || pathname.startsWith(prefix);
 }
--- a/packages/instance/src/callers/callerServer.ts
+++ b/packages/instance/src/callers/callerServer.ts
@@ -9,60 +9,69 @@
 
 import type { CallerRouter } from './callerRouter.js';
 
-import { sendError } from './answers.js';
+import { sendError } from './responses.js';
 import { classifyParserFailure, refuseConnection } from './refuseConnection.js';
 
-/** What serving callers needs. */
+/** Options of a {@link CallerServer}. */
 export interface CallerServerOptions {
   readonly router: CallerRouter;
   readonly logger: Logger;
   readonly timers: TimerService;
-  /** Largest head accepted, in bytes. */
+  /** Maximum size of a request head, in bytes. */
   readonly headLimitBytes: number;
-  /** Most connections of callers at a time. */
+  /** Maximum number of concurrent connections of callers. */
   readonly maximumConnections: number;
-  /** Longest time that a request may take to arrive, in milliseconds. */
+  /** Maximum time until a request has arrived completely, in milliseconds. */
   readonly senderTimeoutMilliseconds: number;
 }
 
-/** A request that is being answered. */
+/** Request in progress and its response. */
 interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
 }
 
-/** How often Node.js looks for requests that arrive too slowly, in milliseconds. */
-const CONNECTION_CHECK_MILLISECONDS = 500;
-
-/** Idle connections outlive the usual idle time of balancers, so that these close them first. */
-const KEEP_ALIVE_MILLISECONDS = 75_000;
-
-/** How long a connection without a request is kept once no new ones are taken, in milliseconds. */
-const UNUSED_CONNECTION_MILLISECONDS = 1_000;
-
-/** The HTTP interface of callers: connections, and what is wrong before a request is whole. */
+/** Interval at which Node.js checks for requests that arrive too slowly, in milliseconds. */
+const CONNECTION_CHECK_INTERVAL_MILLISECONDS = 500;
+
+/**
+ * Idle timeout of connections, in milliseconds. It exceeds the usual idle timeout of load
+ * balancers, so that they close idle connections first.
+ */
+const KEEP_ALIVE_TIMEOUT_MILLISECONDS = 75_000;
+
+/**
+ * Time for which a connection that has sent nothing stays open after the server stops listening, in
+ * milliseconds.
+ */
+const UNUSED_CONNECTION_GRACE_MILLISECONDS = 1_000;
+
+/**
+ * HTTP server for callers. Manages connections and refuses requests that are malformed or
+ * incomplete.
+ */
 export class CallerServer {
   private readonly server: Server;
   private readonly sockets = new Set<Socket>();
   private readonly exchanges = new Set<Exchange>();
   private isDraining = false;
-  private isClosed = false;
+  private isListenerClosed = false;
 
   public constructor(private readonly options: CallerServerOptions) {
     this.server = createServer(
       {
-        connectionsCheckingInterval: CONNECTION_CHECK_MILLISECONDS,
+        connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL_MILLISECONDS,
         headersTimeout: options.senderTimeoutMilliseconds,
-        keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
+        keepAliveTimeout: KEEP_ALIVE_TIMEOUT_MILLISECONDS,
         maxHeaderSize: options.headLimitBytes,
         requestTimeout: options.senderTimeoutMilliseconds,
       },
       (request, response) => {
-        this.answer(request, response);
+        this.handleRequest(request, response);
       },
     );
     this.server.on('connection', socket => {
-      this.accept(socket);
+      this.acceptConnection(socket);
     });
     this.server.on('clientError', (failure, socket) => {
       this.refuseMalformed(failure, socket);
@@ -72,12 +81,12 @@
     });
   }
 
-  /** Requests that are being answered. */
-  public get activeRequests(): number {
+  /** Number of requests in progress. */
+  public get activeRequestCount(): number {
     return this.exchanges.size;
   }
 
-  /** Listens on an IP number and port. */
+  /** Listens on an IP address and port. */
   public async listen(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -85,32 +94,35 @@
     });
   }
 
-  /** Closes each connection after its answer; requests and connections are still taken. */
-  public closeConnectionsAfterAnswers(): void {
+  /** Closes each connection after its response; new requests and connections are still accepted. */
+  public closeConnectionsAfterResponses(): void {
     this.isDraining = true;
     for (const { response } of this.exchanges) {
-      announceClose(response);
+      setConnectionCloseHeader(response);
     }
   }
 
-  /** Takes no new connections and waits until every request is answered. */
+  /** Stops accepting connections and waits until every request has been answered. */
   public async drain(): Promise<void> {
-    this.closeConnectionsAfterAnswers();
-    this.isClosed = true;
+    this.closeConnectionsAfterResponses();
+    this.isListenerClosed = true;
     const closed = new Promise<void>(resolve =>
       this.server.close(() => {
         resolve();
       }),
     );
     this.server.closeIdleConnections();
-    const unused = this.options.timers.after(UNUSED_CONNECTION_MILLISECONDS, () => {
-      this.closeUnusedConnections();
-    });
+    const unusedConnectionTimer = this.options.timers.after(
+      UNUSED_CONNECTION_GRACE_MILLISECONDS,
+      () => {
+        this.closeUnusedConnections();
+      },
+    );
     await closed;
-    unused.stop();
+    unusedConnectionTimer.stop();
   }
 
-  private accept(socket: Socket): void {
+  private acceptConnection(socket: Socket): void {
     if (this.sockets.size >= this.options.maximumConnections) {
       refuseConnection(socket, new ZincringError('too-many-connections'));
       return;
@@ -119,7 +131,7 @@
     socket.once('close', () => this.sockets.delete(socket));
   }
 
-  private answer(request: IncomingMessage, response: ServerResponse): void {
+  private handleRequest(request: IncomingMessage, response: ServerResponse): void {
     const { socket } = request;
     if (socket.destroyed || !this.sockets.has(socket)) {
       return;
@@ -128,14 +140,14 @@
     this.exchanges.add(exchange);
     response.once('close', () => {
       this.exchanges.delete(exchange);
-      if (this.isClosed) {
+      if (this.isListenerClosed) {
         setImmediate(() => {
           this.server.closeIdleConnections();
         });
       }
     });
     if (this.isDraining) {
-      announceClose(response);
+      setConnectionCloseHeader(response);
     }
     this.options.router.handle(request, response).catch((failure: unknown) => {
       const error = toZincringError(failure);
@@ -147,22 +159,22 @@
   }
 
   /**
-   * Refuses what is not HTTP. An answer that is under way on the connection belongs to an earlier
-   * request, which is whole, and is finished first.
+   * Refuses input that is not valid HTTP. A response in progress on the same connection belongs to
+   * an earlier, complete request and is finished first.
    */
   private refuseMalformed(failure: Error, socket: Duplex): void {
-    const pending = [...this.exchanges].filter(each => each.request.socket === socket);
-    const last = pending.at(-1);
-    if (last === undefined) {
+    const unfinishedExchanges = [...this.exchanges].filter(each => each.request.socket === socket);
+    const lastExchange = unfinishedExchanges.at(-1);
+    if (lastExchange === undefined) {
       refuseConnection(socket, classifyParserFailure(failure));
       return;
     }
-    last.response.once('close', () => {
+    lastExchange.response.once('close', () => {
       socket.destroy();
     });
-    if (!last.request.complete && !last.response.headersSent) {
-      announceClose(last.response);
-      sendError(last.response, classifyParserFailure(failure));
+    if (!lastExchange.request.complete && !lastExchange.response.headersSent) {
+      setConnectionCloseHeader(lastExchange.response);
+      sendError(lastExchange.response, classifyParserFailure(failure));
     }
   }
 
@@ -175,7 +187,7 @@
   }
 }
 
-function announceClose(response: ServerResponse): void {
+function setConnectionCloseHeader(response: ServerResponse): void {
   if (!response.headersSent) {
     response.setHeader('connection', 'close');
   }
--- a/packages/instance/src/callers/programRoutes.ts
+++ b/packages/instance/src/callers/programRoutes.ts
@@ -15,12 +15,12 @@
 import type { CallRequest, ProgramService, ProgramSummary } from '../programs/programMessages.js';
 import type { Caller } from './authentication.js';
 
-import { sendError, sendFrames, sendJson } from './answers.js';
-import { callSchema, checkBody, openProgramSchema } from './callerMessages.js';
+import { sendError, sendFrames, sendJson } from './responses.js';
+import { callSchema, validateBody, openProgramSchema } from './callerMessages.js';
 import { parseJson } from './readBody.js';
 import { refuseMethod } from './refuseMethod.js';
 
-/** One request about programs, authenticated and read. */
+/** Authenticated request to a program route, with its complete body. */
 export interface ProgramRouteRequest {
   readonly method: string;
   /** Path segments after `/v1/programs`. */
@@ -31,36 +31,38 @@
   readonly keyWithdrawn: AbortSignal;
 }
 
-/** What serving programs needs. */
+/** Options of {@link ProgramRoutes}. */
 export interface ProgramRoutesOptions {
   readonly programs: ProgramService;
-  /** Deepest JSON accepted. */
+  /** Maximum nesting depth of JSON bodies. */
   readonly bodyDepthLimit: number;
-  /** How long a caller may read nothing, in milliseconds. */
+  /** Maximum time that a caller may go without reading, in milliseconds. */
   readonly readerTimeoutMilliseconds: number;
 }
 
 const PROGRAM_ID_BYTES = 16;
 const DEFAULT_CALL_TIMEOUT_MILLISECONDS = 60_000;
 
-/** Serves `/v1/programs` and what is below it. */
+/** Handles requests to `/v1/programs` and the paths below it. */
 export class ProgramRoutes {
   public constructor(private readonly options: ProgramRoutesOptions) {}
 
-  /** Checks route and method, which needs no body; throws the refusal. */
+  /**
+   * Checks route and method before the body is read; throws a `ZincringError` if either is invalid.
+   */
   public checkRoute(
     { method, segments }: Pick<ProgramRouteRequest, 'method' | 'segments'>,
     response: ServerResponse,
   ): void {
-    const [program, calls, ...rest] = segments;
-    if (rest.length > 0 || (calls !== undefined && calls !== 'calls')) {
+    const [program, calls, ...extraSegments] = segments;
+    if (extraSegments.length > 0 || (calls !== undefined && calls !== 'calls')) {
       throw new ZincringErrorClass('not-found');
     }
     const isProgram = program !== undefined && calls === undefined;
     refuseMethod(method, isProgram ? ['DELETE', 'GET'] : ['POST'], response);
   }
 
-  /** Answers one request. */
+  /** Handles one request. */
   public async handle(request: ProgramRouteRequest, response: ServerResponse): Promise<void> {
     const [program, calls] = request.segments;
     if (program === undefined) {
@@ -79,7 +81,10 @@
   }
 
   private async open(request: ProgramRouteRequest, response: ServerResponse): Promise<void> {
-    const body = checkBody(openProgramSchema, parseJson(request.body, this.options.bodyDepthLimit));
+    const body = validateBody(
+      openProgramSchema,
+      parseJson(request.body, this.options.bodyDepthLimit),
+    );
     const opened = await this.options.programs.open({
       deadlineMilliseconds:
         body.deadlineSeconds === undefined ? undefined : body.deadlineSeconds * 1_000,
@@ -108,7 +113,7 @@
     program: ProgramId,
     response: ServerResponse,
   ): Promise<void> {
-    const body = checkBody(callSchema, parseJson(request.body, this.options.bodyDepthLimit));
+    const body = validateBody(callSchema, parseJson(request.body, this.options.bodyDepthLimit));
     const call: CallRequest = {
       body: Buffer.from(typeof body.input === 'string' ? body.input : JSON.stringify(body.input)),
       call: body.call as CallId,
@@ -138,8 +143,8 @@
 }
 
 /**
- * A random identifier, or the one that belongs to a name. Names of different workspaces never give
- * the same identifier, and no identifier tells its name.
+ * Creates a random identifier, or derives one from a name. Names of different workspaces never
+ * yield the same identifier, and an identifier does not reveal its name.
  */
 function createProgramId(workspace: WorkspaceName, name: string | undefined): ProgramId {
   const id =
--- a/packages/instance/src/callers/readBody.ts
+++ b/packages/instance/src/callers/readBody.ts
@@ -3,22 +3,22 @@
 import { ZincringError } from '@zincring/core';
 
 /**
- * Reads the body of a request; throws the kind `body-too-large` above the limit.
+ * Reads the body of a request; throws the kind `body-too-large` if it exceeds the limit.
  *
- * @param limitBytes largest body accepted, in bytes
+ * @param limitBytes maximum size of the body, in bytes
  */
 export async function readBody(request: IncomingMessage, limitBytes: number): Promise<Buffer> {
   if (Number(request.headers['content-length'] ?? 0) > limitBytes) {
-    throw tooLarge(limitBytes);
+    throw createBodyTooLargeError(limitBytes);
   }
   const chunks: Buffer[] = [];
-  let size = 0;
+  let receivedBytes = 0;
   return await new Promise((resolve, reject) => {
     request.on('data', (chunk: Buffer) => {
-      size += chunk.length;
-      if (size > limitBytes) {
+      receivedBytes += chunk.length;
+      if (receivedBytes > limitBytes) {
         chunks.length = 0;
-        reject(tooLarge(limitBytes));
+        reject(createBodyTooLargeError(limitBytes));
         return;
       }
       chunks.push(chunk);
@@ -46,27 +46,27 @@
 
 const QUOTE = 0x22;
 const BACKSLASH = 0x5c;
-const OPENING: ReadonlySet<number> = new Set([0x5b, 0x7b]);
-const CLOSING: ReadonlySet<number> = new Set([0x5d, 0x7d]);
+const OPENING_BRACKETS: ReadonlySet<number> = new Set([0x5b, 0x7b]);
+const CLOSING_BRACKETS: ReadonlySet<number> = new Set([0x5d, 0x7d]);
 
 /**
- * Tells whether JSON text nests deeper than a limit, without parsing it.
+ * Checks whether JSON text is nested deeper than a limit, without parsing it.
  *
  * @example
  * isDeeperThan(Buffer.from('[[1]]'), 1); // true
  */
 export function isDeeperThan(text: Uint8Array, limit: number): boolean {
   let depth = 0;
-  let isString = false;
+  let isInString = false;
   for (let index = 0; index < text.length; index++) {
     const byte = text[index] ?? 0;
-    if (isString) {
+    if (isInString) {
       index += byte === BACKSLASH ? 1 : 0;
-      isString = byte !== QUOTE;
+      isInString = byte !== QUOTE;
       continue;
     }
-    isString = byte === QUOTE;
-    depth += OPENING.has(byte) ? 1 : CLOSING.has(byte) ? -1 : 0;
+    isInString = byte === QUOTE;
+    depth += OPENING_BRACKETS.has(byte) ? 1 : CLOSING_BRACKETS.has(byte) ? -1 : 0;
     if (depth > limit) {
       return true;
     }
@@ -74,6 +74,6 @@
   return false;
 }
 
-function tooLarge(limitBytes: number): ZincringError {
+function createBodyTooLargeError(limitBytes: number): ZincringError {
   return new ZincringError('body-too-large', { detail: `the limit is ${limitBytes} bytes` });
 }
--- a/packages/instance/src/callers/refuseConnection.ts
+++ b/packages/instance/src/callers/refuseConnection.ts
@@ -3,7 +3,7 @@
 import { ZincringError } from '@zincring/core';
 import { STATUS_CODES } from 'node:http';
 
-/** The error kind of a request that Node's parser has refused. */
+/** Maps an error of Node's HTTP parser to the error sent to the caller. */
 export function classifyParserFailure(failure: Error): ZincringError {
   const { code = '' } = failure as Error & { readonly code?: string };
   switch (code) {
@@ -16,14 +16,16 @@
   }
 }
 
-/** Sends a refusal on a connection that carries no whole request, and closes it. */
+/**
+ * Sends an error response on a connection without a complete request, and closes the connection.
+ */
 export function refuseConnection(socket: Duplex, error: ZincringError): void {
   if (!socket.writable) {
     socket.destroy();
     return;
   }
   const body = JSON.stringify(error.toReport());
-  const lines = [
+  const headLines = [
     `HTTP/1.1 ${error.status} ${STATUS_CODES[error.status] ?? ''}`,
     'connection: close',
     'content-type: application/json',
@@ -33,7 +35,7 @@
   socket.on('error', () => {
     socket.destroy();
   });
-  socket.end(`${lines.join('\r\n')}\r\n\r\n${body}`, () => {
+  socket.end(`${headLines.join('\r\n')}\r\n\r\n${body}`, () => {
     socket.destroy();
   });
 }
--- a/packages/instance/src/callers/refuseMethod.ts
+++ b/packages/instance/src/callers/refuseMethod.ts
@@ -2,7 +2,9 @@
 
 import { ZincringError } from '@zincring/core';
 
-/** Throws the kind `method-not-allowed` and says which methods are, unless this one is. */
+/**
+ * Throws the kind `method-not-allowed` and sets the `Allow` header, unless the method is allowed.
+ */
 export function refuseMethod(
   method: string,
   allowed: readonly string[],
--- a/packages/instance/src/callers/answers.ts
+++ b/packages/instance/src/callers/responses.ts
@@ -3,13 +3,13 @@
 import { ZincringError } from '@zincring/core';
 
 import type { CallFrame } from '../programs/programMessages.js';
-import type { AnswerTextPart } from './answerText.js';
+import type { ResponseTextChunk } from './responseTextDecoder.js';
 
-import { AnswerText } from './answerText.js';
+import { ResponseTextDecoder } from './responseTextDecoder.js';
 import { untilAborted } from './untilAborted.js';
-import { writePatiently } from './writePatiently.js';
+import { writeWithBackpressure } from './writeWithBackpressure.js';
 
-/** Sends a JSON answer. */
+/** Sends a JSON response. */
 export function sendJson(response: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body);
   response.writeHead(status, {
@@ -19,63 +19,67 @@
   response.end(text);
 }
 
-/** Sends a refusal: as the whole answer, or as the last event of a stream that has begun. */
+/** Sends an error: as the complete response, or as the last event if the stream has started. */
 export function sendError(response: ServerResponse, error: ZincringError): void {
   if (response.writableEnded || response.destroyed) {
     return;
   }
-  // Text of unexpected faults may name addresses.
-  const shown = error.kind === 'internal' ? new ZincringError('internal') : error;
-  const report = shown.toReport();
+  // Messages of unexpected errors may contain internal addresses.
+  const publicError = error.kind === 'internal' ? new ZincringError('internal') : error;
+  const report = publicError.toReport();
   if (response.headersSent) {
     response.end(formatEvent('error', report));
     return;
   }
-  if (shown.retryAfterSeconds !== null) {
-    response.setHeader('retry-after', String(Math.ceil(shown.retryAfterSeconds)));
+  if (publicError.retryAfterSeconds !== null) {
+    response.setHeader('retry-after', String(Math.ceil(publicError.retryAfterSeconds)));
   }
-  sendJson(response, shown.status, report);
+  sendJson(response, publicError.status, report);
 }
 
-/** What streaming an answer needs. */
+/** Options of {@link sendFrames}. */
 export interface SendFramesOptions {
   readonly response: ServerResponse;
   readonly frames: AsyncIterable<CallFrame>;
   /** Aborts when the caller's key is withdrawn. */
   readonly keyWithdrawn: AbortSignal;
-  /** How long a caller may read nothing, in milliseconds. */
+  /** Maximum time that a caller may go without reading, in milliseconds. */
   readonly readerTimeoutMilliseconds: number;
 }
 
 /**
- * Streams an answer as server-sent events. A refusal before the first byte keeps its own status.
- * A caller that is gone ends the stream; the call itself goes on at its home.
+ * Streams the frames of a call as server-sent events. An error before the first byte is sent with
+ * its own HTTP status. If the caller disconnects, the stream ends, but the call continues at its
+ * home.
  */
 export async function sendFrames(options: SendFramesOptions): Promise<void> {
   const { frames, keyWithdrawn, readerTimeoutMilliseconds, response } = options;
-  const gone = new AbortController();
+  const callerDisconnected = new AbortController();
   response.once('close', () => {
-    gone.abort();
+    callerDisconnected.abort();
   });
-  const text = new AnswerText();
-  const sendText = async (part: AnswerTextPart | undefined): Promise<void> => {
-    if (part !== undefined) {
-      openStream(response);
-      await writePatiently(response, formatEvent('data', part), readerTimeoutMilliseconds);
+  const decoder = new ResponseTextDecoder();
+  const sendChunk = async (chunk: ResponseTextChunk | undefined): Promise<void> => {
+    if (chunk !== undefined) {
+      startStream(response);
+      await writeWithBackpressure(response, formatEvent('data', chunk), readerTimeoutMilliseconds);
     }
   };
-  for await (const frame of untilAborted(frames, AbortSignal.any([keyWithdrawn, gone.signal]))) {
+  for await (const frame of untilAborted(
+    frames,
+    AbortSignal.any([keyWithdrawn, callerDisconnected.signal]),
+  )) {
     switch (frame.kind) {
       case 'failed':
         sendError(response, frame.error);
         return;
       case 'data':
-        await sendText(text.append(frame.offset, frame.data));
+        await sendChunk(decoder.decode(frame.offset, frame.data));
         break;
       case 'closed':
-        await sendText(text.finish());
-        openStream(response);
-        response.end(formatClosed(frame));
+        await sendChunk(decoder.finish());
+        startStream(response);
+        response.end(formatClosedEvent(frame));
         return;
     }
   }
@@ -85,7 +89,7 @@
   );
 }
 
-function formatClosed(frame: Extract<CallFrame, { kind: 'closed' }>): string {
+function formatClosedEvent(frame: Extract<CallFrame, { kind: 'closed' }>): string {
   return formatEvent('closed', {
     digest: frame.digest,
     durable: frame.isDurable,
@@ -95,7 +99,7 @@
   });
 }
 
-function openStream(response: ServerResponse): void {
+function startStream(response: ServerResponse): void {
   if (!response.headersSent) {
     response.writeHead(200, { 'cache-control': 'no-store', 'content-type': 'text/event-stream' });
   }
--- a/packages/instance/src/callers/serviceRoutes.ts
+++ b/packages/instance/src/callers/serviceRoutes.ts
@@ -11,27 +11,27 @@
 import { isSafeMethod } from '../util/isSafeMethod.js';
 import { refuseMethod } from './refuseMethod.js';
 import { untilAborted } from './untilAborted.js';
-import { writePatiently } from './writePatiently.js';
+import { writeWithBackpressure } from './writeWithBackpressure.js';
 
-/** Which service a request is for, before its body is read. */
+/** Service and method of a request whose body has not been read yet. */
 export interface ServiceRouteTarget {
   readonly configuration: Configuration;
   readonly method: string;
   readonly service: ServiceName;
 }
 
-/** A service that takes the request. */
+/** Service that accepts the method of the request. */
 export interface PreparedService {
   readonly method: string;
   readonly rule: ServiceRule;
 }
 
-/** One request to a plain service, outside programs. */
+/** Request to a plain service outside a program. */
 export interface ServiceRouteRequest extends PreparedService {
   /** Path and query at the service. */
   readonly path: string;
   readonly contentType: string | undefined;
-  /** Identifies the request at the service, within its workspace. */
+  /** Identifies the request at the service; unique within the workspace. */
   readonly idempotencyKey: string | undefined;
   readonly body: Buffer;
   readonly workspace: WorkspaceName;
@@ -39,21 +39,24 @@
   readonly keyWithdrawn: AbortSignal;
 }
 
-/** What serving plain services needs. */
+/** Options of {@link ServiceRoutes}. */
 export interface ServiceRoutesOptions {
   readonly dispatcher: UpstreamDispatcher;
-  /** How long a caller may read nothing, in milliseconds. */
+  /** Maximum time that a caller may go without reading, in milliseconds. */
   readonly readerTimeoutMilliseconds: number;
 }
 
 const ALLOWED_METHODS = ['DELETE', 'GET', 'HEAD', 'OPTIONS', 'PATCH', 'POST', 'PUT'] as const;
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream';
 
-/** Serves requests to plain services outside programs. */
+/** Handles requests to plain services outside programs. */
 export class ServiceRoutes {
   public constructor(private readonly options: ServiceRoutesOptions) {}
 
-  /** Checks what can be checked before the body is read; throws the refusal. */
+  /**
+   * Checks service and method before the body is read; throws a `ZincringError` if either is
+   * invalid.
+   */
   public prepare(target: ServiceRouteTarget, response: ServerResponse): PreparedService {
     const rule = target.configuration.services.get(target.service);
     if (rule?.protocol !== 'plain') {
@@ -63,17 +66,17 @@
     return { method: target.method, rule };
   }
 
-  /** Answers one request. */
+  /** Handles one request. */
   public async handle(request: ServiceRouteRequest, response: ServerResponse): Promise<void> {
-    const { idempotencyKey, rule } = request;
+    const { idempotencyKey: idempotencyKey, rule } = request;
     if (idempotencyKey !== undefined && !isIdentifier(idempotencyKey)) {
       throw new ZincringError('bad-request', { detail: 'idempotency-key: not an identifier' });
     }
     const timeoutMilliseconds = rule.timeoutSeconds * 1_000;
     const isIdempotent = rule.idempotent || isSafeMethod(request.method);
-    const gone = new AbortController();
+    const callerDisconnected = new AbortController();
     response.once('close', () => {
-      gone.abort();
+      callerDisconnected.abort();
     });
     const timeout = AbortSignal.timeout(timeoutMilliseconds);
     const work: UpstreamWork = {
@@ -91,43 +94,53 @@
       program: undefined,
       rule,
       service: rule.name,
-      // Work with effects runs to its end, also when nobody waits for its answer.
-      signal: isIdempotent ? AbortSignal.any([timeout, gone.signal]) : timeout,
+      // A request that is not idempotent runs to completion even if the caller disconnects.
+      signal: isIdempotent ? AbortSignal.any([timeout, callerDisconnected.signal]) : timeout,
       timeoutMilliseconds,
       workspace: request.workspace,
     };
-    await this.forward(work, AbortSignal.any([request.keyWithdrawn, gone.signal]), response);
+    await this.forward(
+      work,
+      AbortSignal.any([request.keyWithdrawn, callerDisconnected.signal]),
+      response,
+    );
     if (request.keyWithdrawn.aborted && !response.writableEnded) {
-      cutOff(response, new ZincringError('key-withdrawn-while-running'));
+      abortResponse(response, new ZincringError('key-withdrawn-while-running'));
     }
   }
 
   private async forward(
     work: UpstreamWork,
-    abandoned: AbortSignal,
+    stopForwarding: AbortSignal,
     response: ServerResponse,
   ): Promise<void> {
-    for await (const frame of untilAborted(this.options.dispatcher.dispatch(work), abandoned)) {
+    for await (const frame of untilAborted(
+      this.options.dispatcher.dispatch(work),
+      stopForwarding,
+    )) {
       switch (frame.kind) {
         case 'head':
           response.writeHead(frame.status, { 'content-type': frame.contentType });
           break;
         case 'data':
-          await writePatiently(response, frame.data, this.options.readerTimeoutMilliseconds);
+          await writeWithBackpressure(response, frame.data, this.options.readerTimeoutMilliseconds);
           break;
         case 'done':
           response.end();
           return;
         case 'failed':
-          cutOff(response, frame.error);
+          abortResponse(response, frame.error);
           return;
       }
     }
   }
 }
 
-/** Refuses, or breaks off an answer whose head is sent, so that it cannot pass for whole. */
-function cutOff(response: ServerResponse, error: ZincringError): void {
+/**
+ * Throws the error, or closes the connection if the head of the response has been sent, so that the
+ * caller recognizes the response as incomplete.
+ */
+function abortResponse(response: ServerResponse, error: ZincringError): void {
   if (response.headersSent) {
     response.destroy();
     return;
--- a/packages/instance/src/callers/untilAborted.ts
+++ b/packages/instance/src/callers/untilAborted.ts
@@ -1,10 +1,10 @@
-/** The next item of an iteration, or that the wait for it was given up. */
+/** Result of waiting for the next item: the item, or that the signal aborted first. */
 type Step<Item> =
   { readonly kind: 'aborted' } | { readonly kind: 'next'; readonly result: IteratorResult<Item> };
 
 /**
- * Iterates until the end or until the signal aborts, whichever comes first. An item that is being
- * waited for when the signal aborts is not waited for any longer.
+ * Iterates until the end or until the signal aborts, whichever comes first. When the signal aborts,
+ * the pending item is no longer waited for.
  *
  * @example
  * for await (const frame of untilAborted(frames, signal)) { … }
@@ -23,7 +23,7 @@
       yield step.result.value;
     }
   } finally {
-    // Not awaited: the iterator answers only after the item that it is waiting for.
+    // Not awaited: a generator settles `return` only after its pending item.
     iterator.return?.().catch(() => undefined);
   }
 }
--- a/packages/instance/src/callers/writePatiently.ts
+++ b/packages/instance/src/callers/writeWithBackpressure.ts
@@ -1,12 +1,12 @@
 import type { ServerResponse } from 'node:http';
 
 /**
- * Writes a part of an answer and waits while the caller does not read. A caller that reads nothing
- * for the whole time loses its connection.
+ * Writes a part of a response and waits until the write buffer has drained. The connection is
+ * closed if that takes longer than the timeout.
  *
- * @param timeoutMilliseconds how long the caller may read nothing
+ * @param timeoutMilliseconds maximum time until the buffer has drained
  */
-export async function writePatiently(
+export async function writeWithBackpressure(
   response: ServerResponse,
   data: string | Uint8Array,
   timeoutMilliseconds: number,
--- a/packages/instance/src/lifecycle/instance.ts
+++ b/packages/instance/src/lifecycle/instance.ts
@@ -192,7 +192,7 @@
           this.close();
         },
         closeConnectionsAfterAnswers: () => {
-          this.callerServer.closeConnectionsAfterAnswers();
+          this.callerServer.closeConnectionsAfterResponses();
         },
         drainCallers: async () => this.callerServer.drain(),
         drainPeers: async () => this.peerServer.drain(),
@@ -245,7 +245,7 @@
     return new InstanceGauges({
       metrics: this.parts.metrics,
       read: () => ({
-        activeCalls: this.callerServer.activeRequests,
+        activeCalls: this.callerServer.activeRequestCount,
         alivePeers: this.membership.alive.length,
         heldShards: this.leases.heldShards.length,
         openPrograms: this.home.programCount,
--- a/packages/instance/src/util/isSafeMethod.ts
+++ b/packages/instance/src/util/isSafeMethod.ts
@@ -1,7 +1,7 @@
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * Tells whether an HTTP method has no effects by definition, so that it may be repeated.
+ * Checks whether an HTTP method is safe by definition, so that a request may be repeated.
  *
  * @example
  * isSafeMethod('GET'); // true
--- a/packages/instance/tests/callers/callerServer.test.ts
+++ b/packages/instance/tests/callers/callerServer.test.ts
@@ -28,16 +28,16 @@
 route status path=/status service=ticket-app access=open # omar: outages
 `;
 
-const works: UpstreamWork[] = [];
-const unused = async (): Promise<never> => Promise.reject(new Error('not used'));
+const dispatchedWork: UpstreamWork[] = [];
+const rejectUnexpectedCall = async (): Promise<never> => Promise.reject(new Error('not used'));
 const programs: ProgramService = {
   async *call() {
     yield { data: Buffer.from('beginning'), kind: 'data', offset: 0 };
     yield await new Promise<never>(() => undefined);
   },
-  describe: unused,
-  end: unused,
-  open: unused,
+  describe: rejectUnexpectedCall,
+  end: rejectUnexpectedCall,
+  open: rejectUnexpectedCall,
 };
 
 type Listener = Parameters<ConfigurationFollower['subscribe']>[0];
@@ -73,7 +73,7 @@
     serviceRoutes: new ServiceRoutes({
       dispatcher: {
         async *dispatch(work) {
-          works.push(work);
+          dispatchedWork.push(work);
           yield { contentType: 'text/plain', kind: 'head', status: 200 };
           yield { data: Buffer.from('done'), kind: 'data' };
           yield await Promise.resolve({
@@ -93,18 +93,22 @@
     senderTimeoutMilliseconds: 1_000,
     timers,
   });
-  const inner = (server as unknown as { server: { address(): AddressInfo } }).server;
-  Object.defineProperty(port, 'number', { get: () => inner.address().port });
+  const httpServer = (server as unknown as { server: { address(): AddressInfo } }).server;
+  Object.defineProperty(port, 'number', { get: () => httpServer.address().port });
   return server;
 }
 
-/** Sends bytes on a connection of their own and reads all that comes back. */
-async function exchange(port: number, bytes: string | Uint8Array, isOpen = false): Promise<string> {
+/** Sends bytes on a new connection and reads until the connection closes. */
+async function exchange(
+  port: number,
+  bytes: string | Uint8Array,
+  keepsWriteSideOpen = false,
+): Promise<string> {
   return await new Promise(resolve => {
     const chunks: Buffer[] = [];
     const socket = connect(port, '127.0.0.1', () => {
       socket.write(bytes);
-      if (!isOpen) {
+      if (!keepsWriteSideOpen) {
         socket.end();
       }
     });
@@ -116,14 +120,14 @@
   });
 }
 
-function kindOf(answer: string): string | undefined {
-  return /"kind":"([a-z-]+)"/.exec(answer)?.[1];
+function errorKindOf(response: string): string | undefined {
+  return /"kind":"([a-z-]+)"/.exec(response)?.[1];
 }
 
-const auth = `Authorization: Bearer ${KEY}\r\n`;
-const get = (target: string, headers = ''): string =>
+const authorizationHeader = `Authorization: Bearer ${KEY}\r\n`;
+const formatGet = (target: string, headers = ''): string =>
   `GET ${target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n${headers}\r\n`;
-const post = (target: string, body: string, headers = auth): string =>
+const formatPost = (target: string, body: string, headers = authorizationHeader): string =>
   `POST ${target} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n${headers}Content-Length: ${body.length}\r\n\r\n${body}`;
 
 describe(CallerServer, () => {
@@ -134,79 +138,104 @@
   afterAll(async () => server.drain());
 
   it.each([
-    ['nothing of HTTP', 'hello\r\n\r\n', 400, 'bad-request'],
+    ['input that is not HTTP', 'hello\r\n\r\n', 400, 'bad-request'],
+    ['an oversized head', formatGet('/x', `X: ${'a'.repeat(8_000)}\r\n`), 431, 'headers-too-large'],
+    ['no key', formatGet('/v1/programs/x'), 401, 'key-missing'],
     [
-      'a head that is too large',
-      get('/x', `X: ${'a'.repeat(8_000)}\r\n`),
-      431,
-      'headers-too-large',
+      'a wrong key',
+      formatGet('/v1/programs/x', 'Authorization: Bearer no\r\n'),
+      401,
+      'key-rejected',
     ],
-    ['no key', get('/v1/programs/x'), 401, 'key-missing'],
-    ['a wrong key', get('/v1/programs/x', 'Authorization: Bearer no\r\n'), 401, 'key-rejected'],
-    ['an unknown route', get('/nowhere'), 404, 'not-found'],
-    ['an unknown service', get('/v1/services/no/x', auth), 404, 'service-not-found'],
-    ['a wrong method', get('/v1/programs', auth), 405, 'method-not-allowed'],
+    ['an unknown route', formatGet('/nowhere'), 404, 'not-found'],
+    [
+      'an unknown service',
+      formatGet('/v1/services/no/x', authorizationHeader),
+      404,
+      'service-not-found',
+    ],
+    ['a wrong method', formatGet('/v1/programs', authorizationHeader), 405, 'method-not-allowed'],
     ['CONNECT', 'CONNECT x:1 HTTP/1.1\r\nHost: x\r\n\r\n', 405, 'method-not-allowed'],
-    ['a long body', post('/v1/programs', 'x'.repeat(3_000)), 413, 'body-too-large'],
-    ['a deep body', post('/v1/programs', '['.repeat(100)), 400, 'body-too-deep'],
-    ['an unknown field', post('/v1/programs', '{"policy":"p","x":1}'), 400, 'bad-request'],
-    ['a call without input', post('/v1/programs/p/calls', '{"call":"c"}'), 400, 'bad-request'],
-    ['two keys', get('/v1/programs/x', auth + auth), 400, 'bad-request'],
-    ['a key in the query', get(`/status?key=${KEY}`), 400, 'bad-request'],
-    ['a key in a header', get('/status', `Idempotency-Key: ${KEY}\r\n`), 400, 'bad-request'],
-    ['a way out of an open route', get('/status/%2e%2e/orders'), 400, 'bad-request'],
+    ['an oversized body', formatPost('/v1/programs', 'x'.repeat(3_000)), 413, 'body-too-large'],
+    ['a deeply nested body', formatPost('/v1/programs', '['.repeat(100)), 400, 'body-too-deep'],
+    ['an unknown field', formatPost('/v1/programs', '{"policy":"p","x":1}'), 400, 'bad-request'],
+    [
+      'a call without input',
+      formatPost('/v1/programs/p/calls', '{"call":"c"}'),
+      400,
+      'bad-request',
+    ],
+    [
+      'two authorization headers',
+      formatGet('/v1/programs/x', authorizationHeader + authorizationHeader),
+      400,
+      'bad-request',
+    ],
+    ['a key in the query', formatGet(`/status?key=${KEY}`), 400, 'bad-request'],
+    ['a key in a header', formatGet('/status', `Idempotency-Key: ${KEY}\r\n`), 400, 'bad-request'],
+    [
+      'an encoded dot segment that leaves an open route',
+      formatGet('/status/%2e%2e/orders'),
+      400,
+      'bad-request',
+    ],
     [
-      'two lengths',
+      'both a content length and a transfer encoding',
       'POST /status HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
       400,
       'bad-request',
     ],
   ])('refuses %s', async (_name, bytes, status, kind) => {
-    const answer = await exchange(port.number, bytes);
-    expect(answer).toMatch(new RegExp(`^HTTP/1.1 ${status} `));
-    expect(kindOf(answer)).toBe(kind);
-    expect(answer).toContain('"ran":"no"');
-    expect(works).toHaveLength(0);
+    const response = await exchange(port.number, bytes);
+    expect(response).toMatch(new RegExp(`^HTTP/1.1 ${status} `));
+    expect(errorKindOf(response)).toBe(kind);
+    expect(response).toContain('"ran":"no"');
+    expect(dispatchedWork).toHaveLength(0);
   });
 
-  it('says of an unexpected fault that the request may have run', async () => {
-    const answer = await exchange(port.number, get('/v1/programs/x', auth));
-    expect(answer).toMatch(/^HTTP\/1\.1 500 /);
-    expect(kindOf(answer)).toBe('internal');
-    expect(answer).toContain('"ran":"maybe"');
+  it('reports after an unexpected error that the request may have run', async () => {
+    const response = await exchange(port.number, formatGet('/v1/programs/x', authorizationHeader));
+    expect(response).toMatch(/^HTTP\/1\.1 500 /);
+    expect(errorKindOf(response)).toBe('internal');
+    expect(response).toContain('"ran":"maybe"');
   });
 
-  it('names the methods that a route takes', async () => {
-    expect(await exchange(port.number, get('/v1/programs', auth))).toMatch(/allow: POST/i);
+  it('lists the allowed methods of a route', async () => {
+    expect(await exchange(port.number, formatGet('/v1/programs', authorizationHeader))).toMatch(
+      /allow: POST/i,
+    );
   });
 
-  it('refuses a sender that is too slow', async () => {
+  it('refuses a request that arrives too slowly', async () => {
     const head = `POST /status HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n`;
     for (const bytes of [head, 'GET /status HT']) {
-      expect(kindOf(await exchange(port.number, bytes, true))).toBe('slow-sender');
+      expect(errorKindOf(await exchange(port.number, bytes, true))).toBe('slow-sender');
     }
-    expect(works).toHaveLength(0);
+    expect(dispatchedWork).toHaveLength(0);
   });
 
-  it('refuses connections over the limit', async () => {
+  it('refuses connections beyond the limit', async () => {
     const sockets = Array.from({ length: 20 }, () => connect(port.number, '127.0.0.1'));
     await Promise.all(sockets.map(async each => new Promise(done => each.once('connect', done))));
-    const answer = await exchange(port.number, get('/status'));
+    const response = await exchange(port.number, formatGet('/status'));
     sockets.forEach(each => each.destroy());
-    expect(kindOf(answer)).toBe('too-many-connections');
-    let later = answer;
-    while (kindOf(later) === 'too-many-connections') {
-      later = await exchange(port.number, get('/status'));
+    expect(errorKindOf(response)).toBe('too-many-connections');
+    let laterResponse = response;
+    while (errorKindOf(laterResponse) === 'too-many-connections') {
+      laterResponse = await exchange(port.number, formatGet('/status'));
     }
-    expect(later).toMatch(/^HTTP\/1.1 200 /);
-    works.length = 0;
+    expect(laterResponse).toMatch(/^HTTP\/1.1 200 /);
+    dispatchedWork.length = 0;
   });
 
-  it('gives an upstream neither the key nor headers that are not on the list', async () => {
-    const headers = `${auth}Cookie: a=b\r\nX-Key: ${KEY}\r\nContent-Type: text/plain\r\nIdempotency-Key: order-7\r\n`;
-    const answer = await exchange(port.number, post('/v1/services/ticket-app/o?x=1', 'b', headers));
-    expect(answer).toMatch(/^HTTP\/1.1 200 /);
-    const [work] = works.splice(0);
+  it('forwards neither the key nor headers outside the allowlist to an upstream', async () => {
+    const headers = `${authorizationHeader}Cookie: a=b\r\nX-Key: ${KEY}\r\nContent-Type: text/plain\r\nIdempotency-Key: order-7\r\n`;
+    const response = await exchange(
+      port.number,
+      formatPost('/v1/services/ticket-app/o?x=1', 'b', headers),
+    );
+    expect(response).toMatch(/^HTTP\/1.1 200 /);
+    const [work] = dispatchedWork.splice(0);
     expect(work).toMatchObject({
       call: 'order-7',
       isIdempotent: false,
@@ -216,7 +245,7 @@
     expect(JSON.stringify({ ...work, rule: undefined })).not.toContain(KEY);
   });
 
-  it('ends an answer under way when its key is withdrawn', async () => {
+  it('ends a response in progress when its key is withdrawn', async () => {
     const body = '{"call":"c","turn":1,"service":"ticket-app","input":"x"}';
     const withdrawal = setInterval(() => {
       const change = { withdrawnKeys: [hashKey(KEY)] };
@@ -224,31 +253,37 @@
         listener(undefined as never, change as unknown as Parameters<Listener>[1]);
       });
     }, 200);
-    const answer = await exchange(port.number, post('/v1/programs/p/calls', body), true);
+    const response = await exchange(port.number, formatPost('/v1/programs/p/calls', body), true);
     clearInterval(withdrawal);
-    expect(answer).toContain('"text":"beginning"');
-    expect(kindOf(answer)).toBe('key-withdrawn-while-running');
+    expect(response).toContain('"text":"beginning"');
+    expect(errorKindOf(response)).toBe('key-withdrawn-while-running');
   });
 
-  it('answers any bytes clearly and lets none out of an open route', async () => {
-    const piece = fc.oneof(
+  it('handles arbitrary input without internal errors and stays inside the open route’s prefix', async () => {
+    const fragment = fc.oneof(
       fc.constantFrom(...[' ', '\r\n', '\r\n\r\n', 'GET ', 'POST ', 'HEAD ', '/status', '/../']),
       fc.constantFrom(...['/%2e%2e/', '//', '?', 'HTTP/1.1', 'Host: x\r\n', 'Content-Length: 3']),
-      fc.constantFrom(...['Transfer-Encoding: chunked\r\n', auth, '/v1/programs', '{"policy":1}']),
+      fc.constantFrom(
+        ...['Transfer-Encoding: chunked\r\n', authorizationHeader, '/v1/programs', '{"policy":1}'],
+      ),
       fc.string({ maxLength: 6, unit: 'binary' }),
     );
     const request = fc.tuple(
-      fc.constantFrom('', get('/status').slice(0, 12), 'POST /v1/programs HTTP/1.1\r\nHost: x\r\n'),
-      fc.array(piece, { maxLength: 10 }),
+      fc.constantFrom(
+        '',
+        formatGet('/status').slice(0, 12),
+        'POST /v1/programs HTTP/1.1\r\nHost: x\r\n',
+      ),
+      fc.array(fragment, { maxLength: 10 }),
     );
     await fc.assert(
-      fc.asyncProperty(request, async ([start, pieces]) => {
-        const answer = await exchange(port.number, Buffer.from(start + pieces.join('')));
-        const kind = kindOf(answer);
-        expect(answer).toMatch(/^(HTTP\/1.1 [2-5]\d\d |$)/);
+      fc.asyncProperty(request, async ([start, fragments]) => {
+        const response = await exchange(port.number, Buffer.from(start + fragments.join('')));
+        const kind = errorKindOf(response);
+        expect(response).toMatch(/^(HTTP\/1.1 [2-5]\d\d |$)/);
         expect(kind === undefined || isErrorKind(kind)).toBe(true);
-        expect(answer).not.toMatch(/"kind":"internal"/);
-        for (const work of works.splice(0)) {
+        expect(response).not.toMatch(/"kind":"internal"/);
+        for (const work of dispatchedWork.splice(0)) {
           const { path } = work.payload as { readonly path: string };
           expect(new URL(path, 'http://s').pathname).toMatch(/^\/status(\/|$)/);
         }
@@ -265,9 +300,9 @@
   beforeAll(async () => server.listen('127.0.0.1', 0));
   afterAll(async () => server.drain());
 
-  it('refuses every request until it has one', async () => {
-    const answer = await exchange(port.number, get('/v1/programs/x', auth));
-    expect(answer).toMatch(/^HTTP\/1\.1 503 /);
-    expect(kindOf(answer)).toBe('instance-not-ready');
+  it('refuses every request as not ready', async () => {
+    const response = await exchange(port.number, formatGet('/v1/programs/x', authorizationHeader));
+    expect(response).toMatch(/^HTTP\/1\.1 503 /);
+    expect(errorKindOf(response)).toBe('instance-not-ready');
   });
 });
--- a/packages/instance/tests/callers/readBody.test.ts
+++ b/packages/instance/tests/callers/readBody.test.ts
@@ -31,7 +31,7 @@
     ['', 64, 'bad-request'],
     ['"[[["', 1, undefined],
     [String.raw`"\"[["`, 1, undefined],
-  ])('answers %.20s', (text, limit, kind) => {
+  ])('gives the expected error kind for %.20s', (text, limit, kind) => {
     let failure: unknown;
     try {
       parseJson(Buffer.from(text), limit);
--- a/packages/instance/tests/callers/requestTarget.test.ts
+++ b/packages/instance/tests/callers/requestTarget.test.ts
@@ -16,7 +16,7 @@
     ['/a..b/...', '/a..b/...', ''],
     ['http://host:80/status?x', '/status', '?x'],
     ['http://host', '/', ''],
-  ])('takes %s', (target, pathname, search) => {
+  ])('accepts %s', (target, pathname, search) => {
     expect(parseRequestTarget(target)).toMatchObject({ pathname, search });
   });
 
@@ -48,22 +48,22 @@
     expect(() => parseRequestTarget(target)).toThrow(ZincringError);
   });
 
-  it('never gives a path that another reading would take out of its prefix', () => {
-    const pieces = fc.constantFrom(
+  it('never returns a path that another URL parser resolves outside its prefix', () => {
+    const fragment = fc.constantFrom(
       ...['open', '..', '.', '/', '//', '%2e', '%2E%2e', '%2f', '%5c', '\\', ';', '%25', 'x', '?'],
     );
     fc.assert(
-      fc.property(fc.array(pieces, { maxLength: 10 }), parts => {
+      fc.property(fc.array(fragment, { maxLength: 10 }), fragments => {
         let pathname;
         try {
-          ({ pathname } = parseRequestTarget(`/open/${parts.join('')}`));
+          ({ pathname } = parseRequestTarget(`/open/${fragments.join('')}`));
         } catch (failure) {
           expect(failure).toBeInstanceOf(ZincringError);
           return;
         }
-        const read = new URL(pathname, 'http://service').pathname;
-        expect(read).toBe(pathname);
-        expect(read.startsWith('/open/')).toBe(true);
+        const reparsed = new URL(pathname, 'http://service').pathname;
+        expect(reparsed).toBe(pathname);
+        expect(reparsed.startsWith('/open/')).toBe(true);
       }),
       { numRuns: 3_000, seed: 42 },
     );
