--- a/packages/instance/src/operators/instanceStatus.ts
+++ b/packages/instance/src/operators/instanceStatus.ts
@@ -16,13 +16,15 @@
   UpstreamReport,
 } from './operatorStatus.js';
 
-/** The parts of an instance that operators may ask about. */
+/** Options of an {@link InstanceStatus}: the components it reports on. */
 export interface InstanceStatusOptions {
   readonly settings: Settings;
   readonly configuration: ConfigurationFollower;
   readonly home: ProgramHome;
   readonly membership: Membership;
-  /** Upstream replicas with what this instance has in flight there. */
+  /**
+   * Returns the upstream replicas with the number of calls in flight to each from this instance.
+   */
   readonly upstreams: () => readonly ReplicaStatus[];
   readonly incarnation: () => IncarnationId;
   readonly limits: () => readonly LimitReport[];
@@ -31,15 +33,15 @@
   readonly isDraining: () => boolean;
 }
 
-/** Tells operators what an instance holds and sees. */
+/** Reports the state of an instance, and its view of the others, to operators. */
 export class InstanceStatus implements OperatorStatusSource {
-  private entries: readonly DirectoryEntry[] = [];
+  private directoryEntries: readonly DirectoryEntry[] = [];
 
   public constructor(private readonly options: InstanceStatusOptions) {}
 
-  /** Takes over the platform's list. */
-  public updateDirectory(entries: readonly DirectoryEntry[]): void {
-    this.entries = entries;
+  /** Applies the current entries of the platform's directory. */
+  public updateDirectory(directoryEntries: readonly DirectoryEntry[]): void {
+    this.directoryEntries = directoryEntries;
   }
 
   public describeInstance(): InstanceReport {
@@ -80,17 +82,17 @@
     };
   }
 
-  public configurationAfter(version: number): Update {
+  public readConfigurationUpdate(version: number): Update {
     return this.options.configuration.updateAfter(version);
   }
 
   private describeUpstreams(): readonly UpstreamReport[] {
-    const inUse = new Map(this.options.upstreams().map(each => [each.replica.id, each]));
-    return this.entries.flatMap(({ id, role, state, zone }) => {
+    const replicaStatuses = new Map(this.options.upstreams().map(each => [each.replica.id, each]));
+    return this.directoryEntries.flatMap(({ id, role, state, zone }) => {
       if (role.kind !== 'upstream') {
         return [];
       }
-      const { inFlight = 0, window = 0 } = inUse.get(id as UpstreamId) ?? {};
+      const { inFlight = 0, window = 0 } = replicaStatuses.get(id as UpstreamId) ?? {};
       return [{ id: id as UpstreamId, inFlight, service: role.service, state, window, zone }];
     });
   }
--- a/packages/instance/src/operators/operatorConversions.ts
+++ b/packages/instance/src/operators/operatorConversions.ts
@@ -10,7 +10,7 @@
 
 import type { InstanceReport, ProgramReport } from './operatorStatus.js';
 
-/** The report of an instance as a message. */
+/** Converts the report of an instance to a message. */
 export function instanceToMessage(
   report: InstanceReport,
 ): MessageInitShape<typeof StatusResponseSchema> {
@@ -40,7 +40,7 @@
   };
 }
 
-/** The report of a program as a message; `found` is false where there is none. */
+/** Converts the report of a program to a message; `found` is false if there is no report. */
 export function programToMessage(
   holder: InstanceId,
   report: ProgramReport | undefined,
@@ -63,7 +63,7 @@
   };
 }
 
-/** Newer configuration as a message. */
+/** Converts an update of the configuration to a message. */
 export function updateToMessage(
   update: Update,
 ): MessageInitShape<typeof ReadConfigurationResponseSchema> {
--- a/packages/instance/src/operators/operatorService.ts
+++ b/packages/instance/src/operators/operatorService.ts
@@ -8,14 +8,16 @@
 import { instanceToMessage, programToMessage, updateToMessage } from './operatorConversions.js';
 
 /**
- * Serves operators, and peers that cannot reach the store, beside the other services of a router.
+ * Registers the operator service on a router. Peers that cannot reach the store also read the
+ * configuration from it.
  *
  * @example
  * registerOperatorService(router, statusSource);
  */
 export function registerOperatorService(router: ConnectRouter, source: OperatorStatusSource): void {
   router.service(OperatorService, {
-    readConfiguration: ({ after }) => updateToMessage(source.configurationAfter(Number(after))),
+    readConfiguration: ({ after }) =>
+      updateToMessage(source.readConfigurationUpdate(Number(after))),
     showProgram: ({ program }) =>
       programToMessage(
         source.describeInstance().instance,
--- a/packages/instance/src/operators/operatorStatus.ts
+++ b/packages/instance/src/operators/operatorStatus.ts
@@ -13,41 +13,41 @@
 
 import type { BlockedVersion } from '../configuration/rulesInForce.js';
 
-/** Where the rate of a workspace stands at an instance. */
+/** State of a workspace's rate limit at an instance. */
 export interface LimitReport {
   readonly workspace: WorkspaceName;
-  /** Requests that may be admitted at once. */
+  /** Number of requests that may be admitted immediately. */
   readonly tokens: number;
-  /** Requests admitted since the start. */
+  /** Number of requests admitted since the instance started. */
   readonly granted: number;
-  /** Requests refused since the start. */
+  /** Number of requests refused since the instance started. */
   readonly refused: number;
 }
 
-/** How an instance sees an upstream replica. */
+/** State of an upstream replica as seen by an instance. */
 export interface UpstreamReport {
   readonly id: UpstreamId;
   readonly service: ServiceName;
   readonly zone: AvailabilityZone;
-  /** A word such as `live` or `leaving`. */
+  /** State in the directory, such as `live` or `leaving`. */
   readonly state: string;
-  /** Calls under way from this instance. */
+  /** Number of calls in flight from this instance. */
   readonly inFlight: number;
-  /** Most calls under way from this instance; 0 for no bound. */
+  /** Maximum number of calls in flight from this instance; 0 if unlimited. */
   readonly window: number;
 }
 
-/** Where the configuration stands at an instance. */
+/** State of the configuration at an instance. */
 export interface ConfigurationReport {
-  /** Version in force; 0 before the first. */
+  /** Version in force; 0 before the first version. */
   readonly version: number;
-  /** Newest version heard of. */
+  /** Newest version known to the instance. */
   readonly newestVersion: number;
   readonly blocked: BlockedVersion | undefined;
   readonly storeAgeMilliseconds: number | undefined;
 }
 
-/** What an instance holds and sees. */
+/** State of an instance and its view of the others. */
 export interface InstanceReport {
   readonly instance: InstanceId;
   readonly incarnation: IncarnationId;
@@ -56,15 +56,15 @@
   readonly isDraining: boolean;
   readonly configuration: ConfigurationReport;
   readonly shards: readonly ShardId[];
-  /** Programs whose home is the instance. */
+  /** Number of programs whose home is the instance. */
   readonly programs: number;
   readonly limits: readonly LimitReport[];
   readonly upstreams: readonly UpstreamReport[];
-  /** Other instances heard of lately. */
+  /** Number of other instances that are alive according to recent heartbeats. */
   readonly peersAlive: number;
 }
 
-/** The state of a program at its home. */
+/** State of a program at its home. */
 export interface ProgramReport {
   readonly workspace: WorkspaceName;
   readonly policy: string;
@@ -77,12 +77,12 @@
   readonly hasEnded: boolean;
 }
 
-/** What the other slices tell operators; the wiring of the instance fills it. */
+/** Source of the state that operators can query; implemented by `InstanceStatus`. */
 export interface OperatorStatusSource {
-  /** What the instance holds and sees. */
+  /** Reports the state of the instance and its view of the others. */
   describeInstance(): InstanceReport;
-  /** The state of a program whose home this instance is; `undefined` for any other. */
+  /** Reports the state of a program; `undefined` if its home is another instance. */
   describeProgram(program: ProgramId): ProgramReport | undefined;
-  /** What brings a reader of a configuration version up to what the instance has. */
-  configurationAfter(version: number): Update;
+  /** Returns the update from a configuration version to the newest that the instance has. */
+  readConfigurationUpdate(version: number): Update;
 }
