--- a/packages/instance/src/bin.ts
+++ b/packages/instance/src/bin.ts
@@ -21,7 +21,7 @@
 /** Exit code of a process whose settings are not valid. */
 const EXIT_INVALID_SETTINGS = 2;
 
-async function loadSettings(file: string): Promise<Settings> {
+async function loadSettingsOrExit(file: string): Promise<Settings> {
   const parsed = await readSettings(file);
   if (parsed.ok) {
     return parsed.val;
@@ -41,7 +41,7 @@
 }
 
 async function serve(file: string): Promise<void> {
-  const settings = await loadSettings(file);
+  const settings = await loadSettingsOrExit(file);
   const logger = createLogger(settings.logLevel, { instance: settings.instance });
   const instance = new Instance({
     logger,
@@ -83,7 +83,7 @@
     'check the settings and print them with their defaults',
     builder => builder,
     async ({ settings }) => {
-      process.stdout.write(`${JSON.stringify(await loadSettings(settings), undefined, 2)}\n`);
+      process.stdout.write(`${JSON.stringify(await loadSettingsOrExit(settings), undefined, 2)}\n`);
     },
   )
   .parseAsync();
--- a/packages/instance/src/index.ts
+++ b/packages/instance/src/index.ts
@@ -1,4 +1,4 @@
-export type { InstanceParts } from './lifecycle/instance.js';
+export type { InstanceDependencies } from './lifecycle/instance.js';
 export { Instance } from './lifecycle/instance.js';
 export type { Settings } from './lifecycle/settings.js';
 export type { SettingsError } from './lifecycle/settingsErrors.js';
--- a/packages/instance/src/lifecycle/describeSettings.ts
+++ b/packages/instance/src/lifecycle/describeSettings.ts
@@ -2,15 +2,15 @@
 
 import { toJSONSchema } from 'zod';
 
-/** One setting, for the operators' page. */
+/** One setting, as documented for operators. */
 export interface SettingDescription {
-  /** Where it stands, such as `lease.termMilliseconds`. */
+  /** Path of the setting, such as `lease.termMilliseconds`. */
   readonly path: string;
-  /** Its default as JSON; `undefined` when there is none. */
-  readonly fallback: string | undefined;
+  /** Default value as JSON; `undefined` if there is none. */
+  readonly defaultJson: string | undefined;
 }
 
-/** The part of a JSON schema that names the known keys. */
+/** Subset of a JSON schema: the known keys and their defaults. */
 interface ObjectSchema {
   readonly default?: unknown;
   readonly properties?: Readonly<Record<string, ObjectSchema>>;
@@ -20,7 +20,7 @@
  * Lists the settings of a schema, in the order of their paths.
  *
  * @example
- * describeSchema(schema); // [{ fallback: '256', path: 'shardCount' }, …]
+ * describeSchema(schema); // [{ defaultJson: '256', path: 'shardCount' }, …]
  */
 export function describeSchema(schema: z.ZodType): readonly SettingDescription[] {
   return describeFields(readSchema(schema), '').sort((left, right) =>
@@ -28,13 +28,13 @@
   );
 }
 
-/** Names of the keys that a schema knows at a path. */
+/** Lists the keys that a schema allows at a path. */
 export function knownKeysAt(schema: z.ZodType, path: readonly PropertyKey[]): readonly string[] {
-  let current: ObjectSchema | undefined = readSchema(schema);
-  for (const step of path) {
-    current = current?.properties?.[String(step)];
+  let schemaAtPath: ObjectSchema | undefined = readSchema(schema);
+  for (const key of path) {
+    schemaAtPath = schemaAtPath?.properties?.[String(key)];
   }
-  return Object.keys(current?.properties ?? {});
+  return Object.keys(schemaAtPath?.properties ?? {});
 }
 
 function readSchema(schema: z.ZodType): ObjectSchema {
@@ -45,11 +45,11 @@
   return Object.entries(schema.properties ?? {}).flatMap(([name, field]) => {
     const path = `${prefix}${name}`;
     return field.properties === undefined
-      ? [{ fallback: describeDefault(field), path }]
+      ? [{ defaultJson: formatDefault(field), path }]
       : describeFields(field, `${path}.`);
   });
 }
 
-function describeDefault(field: ObjectSchema): string | undefined {
+function formatDefault(field: ObjectSchema): string | undefined {
   return field.default === undefined ? undefined : JSON.stringify(field.default);
 }
--- a/packages/instance/src/lifecycle/drainSteps.ts
+++ b/packages/instance/src/lifecycle/drainSteps.ts
@@ -2,50 +2,53 @@
 
 import { sleep } from '@zincring/core';
 
-/** The parts of an instance that a graceful shutdown goes through. */
-export interface DrainParts {
-  /** Tells peers that this instance leaves, and holds no longer what it has handed over. */
-  readonly announce: () => void;
-  /** Makes callers' connections close with their answers; requests are still taken. */
-  readonly closeConnectionsAfterAnswers: () => void;
-  /** Hands over what other instances should hold, after the work on it has finished. */
+/** Steps of a graceful shutdown. */
+export interface DrainSteps {
+  /** Announces to peers that this instance is leaving and which shards it still holds. */
+  readonly announceLeaving: () => void;
+  /** Closes each connection of callers after its response; requests are still accepted. */
+  readonly closeConnectionsAfterResponses: () => void;
+  /** Hands over shards after the calls on them have finished, and releases rate seats and loans. */
   readonly handOver: () => Promise<void>;
-  /** Takes no new connections of callers and waits until every request is answered. */
+  /** Stops accepting connections of callers and waits until every request has been answered. */
   readonly drainCallers: () => Promise<void>;
-  /** Takes no new requests of peers and waits until every stream to them has ended. */
+  /** Stops accepting requests of peers and waits until every stream to them has ended. */
   readonly drainPeers: () => Promise<void>;
-  /** Stops timers and closes connections to others. */
+  /** Stops timers and closes outgoing connections. */
   readonly close: () => void;
 }
 
-/** How a graceful shutdown is carried out. */
+/** Options of {@link drain}. */
 export interface DrainOptions {
   readonly timers: TimerService;
   readonly logger: Logger;
-  /** How long requests are still taken while balancers learn of it, in milliseconds. */
+  /**
+   * Time for which requests are still accepted until load balancers have noticed the shutdown, in
+   * milliseconds.
+   */
   readonly noticeMilliseconds: number;
 }
 
 /**
- * Shuts down gracefully. The order matters: new requests have to go elsewhere before the listener
- * closes, shards have a new holder before the last answers are sent, and peers read the end of
- * their streams before the connections to them close.
+ * Shuts down gracefully. The order matters: load balancers must send new requests elsewhere before
+ * the listener closes, shards must have a new holder before the last responses are sent, and peers
+ * must read the end of their streams before the connections to them close.
  *
  * @example
- * await drain(parts, { logger, noticeMilliseconds: 5_000, timers });
+ * await drain(steps, { logger, noticeMilliseconds: 5_000, timers });
  */
-export async function drain(parts: DrainParts, options: DrainOptions): Promise<void> {
+export async function drain(steps: DrainSteps, options: DrainOptions): Promise<void> {
   const { logger, noticeMilliseconds, timers } = options;
   logger.info({}, 'drain started');
-  parts.announce();
-  parts.closeConnectionsAfterAnswers();
+  steps.announceLeaving();
+  steps.closeConnectionsAfterResponses();
   await sleep(timers, noticeMilliseconds);
   logger.info({}, 'drain hands over');
-  await parts.handOver();
-  parts.announce();
-  await parts.drainCallers();
+  await steps.handOver();
+  steps.announceLeaving();
+  await steps.drainCallers();
   logger.info({}, 'drain answered every caller');
-  await parts.drainPeers();
-  parts.close();
+  await steps.drainPeers();
+  steps.close();
   logger.info({}, 'drain finished');
 }
--- a/packages/instance/src/lifecycle/instance.ts
+++ b/packages/instance/src/lifecycle/instance.ts
@@ -51,8 +51,8 @@
 import { InstanceGauges } from './instanceGauges.js';
 import { OperatorServer } from './operatorServer.js';
 
-/** What an instance is made of. */
-export interface InstanceParts {
+/** Dependencies of an {@link Instance}. */
+export interface InstanceDependencies {
   readonly settings: Settings;
   readonly platform: Platform;
   readonly timers: TimerService;
@@ -61,20 +61,23 @@
 }
 
 const INCARNATION_BYTES = 6;
-const MAXIMUM_FIRST_LOAN = 2 ** 47;
-const LOG_RETRY_MILLISECONDS = 200;
-/** How often the holder of the first shard deletes log objects and sessions that nobody needs. */
-const SWEEP_MILLISECONDS = 60_000;
+const MAXIMUM_FIRST_LOAN_NUMBER = 2 ** 47;
+const LOG_RETRY_DELAY_MILLISECONDS = 200;
+/**
+ * Interval at which the holder of the first shard deletes log objects and sessions that are no
+ * longer needed, in milliseconds.
+ */
+const SWEEP_INTERVAL_MILLISECONDS = 60_000;
 const FIRST_SHARD = 0 as ShardId;
 
-/** One running instance: every slice, connected. */
+/** One instance of the scheduler. Creates, connects, starts and stops its components. */
 export class Instance {
   private readonly membership: Membership;
   private readonly locations = new ShardLocations(() => this.leases.heldShards);
   private readonly clients = new PeerClients();
   private readonly upstreams: Upstreams;
   private readonly configuration: ConfigurationFollower;
-  /** Tells of withdrawn keys. */
+  /** Notifies listeners when an API key is withdrawn. */
   public readonly keyWatch: KeyWatch;
   private readonly log: WriteAheadLog;
   private readonly home: ProgramHome;
@@ -87,19 +90,19 @@
   private readonly peerServer: PeerServer;
   private readonly operatorServer: OperatorServer;
   private readonly gauges: InstanceGauges;
-  private renewals: TimerSubscription | undefined;
-  private sweeps: TimerSubscription | undefined;
-  private draining: Promise<void> | undefined;
+  private renewalTimer: TimerSubscription | undefined;
+  private sweepTimer: TimerSubscription | undefined;
+  private drainCompletion: Promise<void> | undefined;
 
-  public constructor(private readonly parts: InstanceParts) {
-    const { logger, platform, settings, timers } = parts;
+  public constructor(private readonly dependencies: InstanceDependencies) {
+    const { logger, platform, settings, timers } = dependencies;
     const incarnation = createIncarnation(settings.instance);
     this.membership = new Membership({
       self: settings.instance,
       suspectMilliseconds: settings.suspectMilliseconds,
       timers,
     });
-    this.configuration = followConfiguration({ ...parts, membership: this.membership });
+    this.configuration = followConfiguration({ ...dependencies, membership: this.membership });
     this.keyWatch = new KeyWatch({
       follower: this.configuration,
       maximumListeners: settings.maximumKeyListeners,
@@ -110,7 +113,7 @@
       logger,
       maximumPending: settings.maximumPendingRecords,
       objects: platform.objects,
-      retryMilliseconds: LOG_RETRY_MILLISECONDS,
+      retryMilliseconds: LOG_RETRY_DELAY_MILLISECONDS,
       timers,
     });
     this.upstreams = this.createUpstreams();
@@ -142,20 +145,20 @@
     });
   }
 
-  /** Whether callers' requests are welcome. */
+  /** Whether load balancers should send callers' requests to this instance. */
   public get isReady(): boolean {
-    return this.configuration.isReady && this.draining === undefined;
+    return this.configuration.isReady && this.drainCompletion === undefined;
   }
 
-  /** Listens and takes part. */
+  /** Listens on all addresses and joins the other instances. */
   public async start(): Promise<void> {
-    const { settings, timers } = this.parts;
+    const { settings, timers } = this.dependencies;
     await this.operatorServer.listen(...splitAddress(settings.operatorAddress));
     await this.peerServer.listen(...splitAddress(settings.peerAddress));
     this.configuration.start();
     this.heartbeats.start();
     this.home.start();
-    this.sweeps = timers.every(SWEEP_MILLISECONDS, () => {
+    this.sweepTimer = timers.every(SWEEP_INTERVAL_MILLISECONDS, () => {
       this.sweep();
     });
     this.gauges.start();
@@ -165,25 +168,28 @@
       this.upstreams.updateConfiguration(configuration);
       this.admission.updateConfiguration(configuration);
     });
-    this.renewals = timers.every(settings.lease.renewMilliseconds, () => {
+    this.renewalTimer = timers.every(settings.lease.renewMilliseconds, () => {
       this.renewLeases();
     });
     await this.callerServer.listen(...splitAddress(settings.callerAddress));
-    this.parts.logger.info({ address: settings.callerAddress }, 'instance started');
+    this.dependencies.logger.info({ address: settings.callerAddress }, 'instance started');
   }
 
-  /** Shuts down gracefully: hands over the shards, answers every request, then ends. */
+  /**
+   * Shuts down gracefully: hands over the shards, answers every request, then closes its
+   * connections.
+   */
   public async stop(): Promise<void> {
-    this.draining ??= this.drain();
-    await this.draining;
+    this.drainCompletion ??= this.drain();
+    await this.drainCompletion;
   }
 
   private async drain(): Promise<void> {
-    const { logger, metrics, settings, timers } = this.parts;
+    const { logger, metrics, settings, timers } = this.dependencies;
     const startedAt = timers.now();
     await drain(
       {
-        announce: () => {
+        announceLeaving: () => {
           this.membership.leave();
           this.heartbeats.beat();
         },
@@ -191,15 +197,15 @@
           metrics.timing('drain.duration', timers.now() - startedAt);
           this.close();
         },
-        closeConnectionsAfterAnswers: () => {
+        closeConnectionsAfterResponses: () => {
           this.callerServer.closeConnectionsAfterResponses();
         },
         drainCallers: async () => this.callerServer.drain(),
         drainPeers: async () => this.peerServer.drain(),
         handOver: async () => {
-          // Renewed until the last call has finished: its turn needs a lease that holds.
+          // Leases are renewed until the last call has finished: storing its turn needs a valid lease.
           await Promise.all([this.leases.stop(), this.admission.release()]);
-          this.renewals?.stop();
+          this.renewalTimer?.stop();
         },
       },
       { logger, noticeMilliseconds: settings.drainNoticeMilliseconds, timers },
@@ -208,7 +214,7 @@
 
   private close(): void {
     this.gauges.stop();
-    this.sweeps?.stop();
+    this.sweepTimer?.stop();
     this.home.stop();
     this.admission.close();
     this.configuration.stop();
@@ -217,13 +223,13 @@
     this.log.close();
     this.clients.close();
     this.operatorServer.close();
-    this.parts.platform.close();
-    this.parts.metrics.close();
+    this.dependencies.platform.close();
+    this.dependencies.metrics.close();
   }
 
   private renewLeases(): void {
     this.leases.tick().catch((failure: unknown) => {
-      this.parts.logger.error({ failure: failureText(failure) }, 'lease renewal failed');
+      this.dependencies.logger.error({ failure: failureText(failure) }, 'lease renewal failed');
     });
   }
 
@@ -232,31 +238,31 @@
       return;
     }
     this.leases.endAbandonedSessions().catch((failure: unknown) => {
-      this.parts.logger.warn({ failure: failureText(failure) }, 'session sweep failed');
+      this.dependencies.logger.warn({ failure: failureText(failure) }, 'session sweep failed');
     });
-    const { objects, table } = this.parts.platform;
-    const { shardCount } = this.parts.settings;
+    const { objects, table } = this.dependencies.platform;
+    const { shardCount } = this.dependencies.settings;
     new LogSweeper({ objects, shardCount, table }).sweep().catch((failure: unknown) => {
-      this.parts.logger.warn({ failure: failureText(failure) }, 'log sweep failed');
+      this.dependencies.logger.warn({ failure: failureText(failure) }, 'log sweep failed');
     });
   }
 
   private createGauges(): InstanceGauges {
     return new InstanceGauges({
-      metrics: this.parts.metrics,
-      read: () => ({
+      metrics: this.dependencies.metrics,
+      readValues: () => ({
         activeCalls: this.callerServer.activeRequestCount,
         alivePeers: this.membership.alive.length,
         heldShards: this.leases.heldShards.length,
         openPrograms: this.home.programCount,
         pendingRecords: this.log.pending,
       }),
-      timers: this.parts.timers,
+      timers: this.dependencies.timers,
     });
   }
 
   private createHome(): ProgramHome {
-    const { logger, platform, settings, timers } = this.parts;
+    const { logger, platform, settings, timers } = this.dependencies;
     return new ProgramHome({
       configuration: () => this.configuration.current,
       countElsewhere: workspace => this.openPrograms.countElsewhere(workspace),
@@ -273,7 +279,7 @@
   }
 
   private createLeases(): ShardLeases {
-    const { logger, platform, settings, timers } = this.parts;
+    const { logger, platform, settings, timers } = this.dependencies;
     return new ShardLeases({
       address: settings.peerAddress,
       createIncarnation: () => createIncarnation(settings.instance),
@@ -289,14 +295,14 @@
   }
 
   private createHeartbeats(): Heartbeats {
-    const { logger, platform, settings, timers } = this.parts;
+    const { logger, platform, settings, timers } = this.dependencies;
     return new Heartbeats({
       clients: this.clients,
       describeSelf: () => ({
         address: settings.peerAddress,
         id: settings.instance,
         incarnation: this.leases.incarnation,
-        isLeaving: this.draining !== undefined,
+        isLeaving: this.drainCompletion !== undefined,
         zone: settings.zone,
       }),
       directory: platform.directory,
@@ -322,18 +328,18 @@
       configuration: this.configuration,
       home: this.home,
       incarnation: () => this.leases.incarnation,
-      isDraining: () => this.draining !== undefined,
+      isDraining: () => this.drainCompletion !== undefined,
       isReady: () => this.isReady,
       limits: () => [],
       membership: this.membership,
-      settings: this.parts.settings,
+      settings: this.dependencies.settings,
       shards: () => this.leases.heldShards,
       upstreams: () => this.upstreams.describe(),
     });
   }
 
   private createCallerServer(dispatcher: UpstreamDispatcher): CallerServer {
-    const { logger, settings, timers } = this.parts;
+    const { logger, settings, timers } = this.dependencies;
     return new CallerServer({
       ...settings,
       logger,
@@ -343,7 +349,10 @@
         configuration: () => this.configuration.usable,
         keyWatch: this.keyWatch,
         now: () => timers.now(),
-        programRoutes: new ProgramRoutes({ ...settings, programs: this.createRouting() }),
+        programRoutes: new ProgramRoutes({
+          ...settings,
+          programs: this.createRoutedProgramService(),
+        }),
         serviceRoutes: new ServiceRoutes({ ...settings, dispatcher }),
       }),
       timers,
@@ -351,13 +360,13 @@
   }
 
   private createAdmission(): FleetAdmission {
-    const { platform, settings } = this.parts;
+    const { platform, settings } = this.dependencies;
     return new FleetAdmission({
-      ...this.parts,
+      ...this.dependencies,
       address: settings.peerAddress,
       clients: this.clients,
       createIncarnation: () => createIncarnation(settings.instance),
-      firstLoan: randomInt(1, MAXIMUM_FIRST_LOAN),
+      firstLoan: randomInt(1, MAXIMUM_FIRST_LOAN_NUMBER),
       instance: settings.instance,
       membership: this.membership,
       settings: settings.limits,
@@ -366,7 +375,7 @@
   }
 
   private createUpstreams(): Upstreams {
-    const { logger, metrics, settings, timers } = this.parts;
+    const { logger, metrics, settings, timers } = this.dependencies;
     return new Upstreams({
       census: new FleetCensus({
         clients: this.clients,
@@ -393,7 +402,7 @@
   }
 
   private findHolder(shard: ShardId): ShardHolder | undefined {
-    const { settings } = this.parts;
+    const { settings } = this.dependencies;
     if (this.leases.status(shard) === 'held') {
       return { address: settings.peerAddress, instance: settings.instance };
     }
@@ -403,8 +412,8 @@
     return peer === undefined ? undefined : { address: peer.address, instance: peer.id };
   }
 
-  private createRouting(): RoutedProgramService {
-    const { settings, timers } = this.parts;
+  private createRoutedProgramService(): RoutedProgramService {
+    const { settings, timers } = this.dependencies;
     return new RoutedProgramService({
       clients: this.clients,
       handoverWaitMilliseconds: settings.handoverWaitMilliseconds,
--- a/packages/instance/src/lifecycle/instanceGauges.ts
+++ b/packages/instance/src/lifecycle/instanceGauges.ts
@@ -1,34 +1,34 @@
 import type { Metrics, TimerService, TimerSubscription } from '@zincring/core';
 
-/** What an instance holds at a moment. */
-export interface InstanceReading {
-  /** Requests of callers that are being answered. */
+/** Current values of the gauges of an instance. */
+export interface GaugeValues {
+  /** Requests of callers in progress. */
   readonly activeCalls: number;
   readonly heldShards: number;
-  /** Log records that are not durable yet. */
+  /** Records of the write-ahead log that are not durable yet. */
   readonly pendingRecords: number;
   readonly alivePeers: number;
   readonly openPrograms: number;
 }
 
-/** What sending the gauges needs. */
+/** Options of {@link InstanceGauges}. */
 export interface InstanceGaugesOptions {
   readonly metrics: Metrics;
   readonly timers: TimerService;
-  readonly read: () => InstanceReading;
+  readonly readValues: () => GaugeValues;
 }
 
-const SEND_MILLISECONDS = 10_000;
+const SEND_INTERVAL_MILLISECONDS = 10_000;
 
-/** Sends what an instance holds, now and then. */
+/** Sends the gauges of an instance periodically. */
 export class InstanceGauges {
   private subscription: TimerSubscription | undefined;
 
   public constructor(private readonly options: InstanceGaugesOptions) {}
 
-  /** Begins to send. */
+  /** Starts sending. */
   public start(): void {
-    this.subscription = this.options.timers.every(SEND_MILLISECONDS, () => {
+    this.subscription = this.options.timers.every(SEND_INTERVAL_MILLISECONDS, () => {
       this.send();
     });
   }
@@ -39,12 +39,12 @@
   }
 
   private send(): void {
-    const { metrics, read } = this.options;
-    const reading = read();
-    metrics.gauge('calls.active', reading.activeCalls);
-    metrics.gauge('leases.held', reading.heldShards);
-    metrics.gauge('log.pending', reading.pendingRecords);
-    metrics.gauge('peers.alive', reading.alivePeers);
-    metrics.gauge('programs.open', reading.openPrograms);
+    const { metrics, readValues } = this.options;
+    const values = readValues();
+    metrics.gauge('calls.active', values.activeCalls);
+    metrics.gauge('leases.held', values.heldShards);
+    metrics.gauge('log.pending', values.pendingRecords);
+    metrics.gauge('peers.alive', values.alivePeers);
+    metrics.gauge('programs.open', values.openPrograms);
   }
 }
--- a/packages/instance/src/lifecycle/operatorServer.ts
+++ b/packages/instance/src/lifecycle/operatorServer.ts
@@ -2,15 +2,17 @@
 
 import { createServer } from 'node:http';
 
-/** What operators and balancers may ask of an instance. */
+/** Options of an {@link OperatorServer}. */
 export interface OperatorServerOptions {
-  /** Whether the instance should get callers' requests. */
+  /** Whether load balancers should send callers' requests to the instance. */
   readonly isReady: () => boolean;
-  /** Begins a graceful shutdown. */
+  /** Starts a graceful shutdown. */
   readonly drain: () => void;
 }
 
-/** Health, readiness and drain on a port of their own. */
+/**
+ * HTTP server for operators and load balancers: health, readiness and drain, on a separate port.
+ */
 export class OperatorServer {
   private readonly server: Server;
 
@@ -20,7 +22,7 @@
     });
   }
 
-  /** Listens on an IP number and port. */
+  /** Listens on an IP address and port. */
   public async listen(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -34,13 +36,13 @@
     this.server.closeAllConnections();
   }
 
-  private handle(target: string, response: ServerResponse): void {
-    switch (target) {
+  private handle(methodAndTarget: string, response: ServerResponse): void {
+    switch (methodAndTarget) {
       case 'GET /health':
-        send(response, 200, 'alive');
+        sendState(response, 200, 'alive');
         return;
       case 'GET /ready':
-        send(
+        sendState(
           response,
           this.options.isReady() ? 200 : 503,
           this.options.isReady() ? 'ready' : 'not ready',
@@ -48,15 +50,15 @@
         return;
       case 'POST /drain':
         this.options.drain();
-        send(response, 202, 'draining');
+        sendState(response, 202, 'draining');
         return;
       default:
-        send(response, 404, 'no such route');
+        sendState(response, 404, 'no such route');
     }
   }
 }
 
-function send(response: ServerResponse, status: number, state: string): void {
+function sendState(response: ServerResponse, status: number, state: string): void {
   response.writeHead(status, { 'content-type': 'application/json' });
   response.end(JSON.stringify({ state }));
 }
--- a/packages/instance/src/lifecycle/settings.ts
+++ b/packages/instance/src/lifecycle/settings.ts
@@ -9,11 +9,11 @@
 import { describeSchema } from './describeSettings.js';
 import { describeSettingsIssues } from './settingsErrors.js';
 
-const LARGEST_PORT = 65_535;
+const MAXIMUM_PORT = 65_535;
 
 const address = z
   .string()
-  .refine(isAddress, 'expected an IP number and a port, such as 127.0.0.1:4000');
+  .refine(isAddress, 'expected an IPv4 address and a port, such as 127.0.0.1:4000');
 const milliseconds = z.number().int().positive();
 
 const leaseSchema = z
@@ -114,7 +114,7 @@
   maximumMailbox: z.number().int().positive().default(64),
   maximumPendingRecords: z.number().int().positive().default(10_000),
   metrics: z
-    .strictObject({ host: z.ipv4(), port: z.number().int().min(1).max(LARGEST_PORT) })
+    .strictObject({ host: z.ipv4(), port: z.number().int().min(1).max(MAXIMUM_PORT) })
     .optional(),
   operatorAddress: address,
   peerAddress: address,
@@ -137,45 +137,46 @@
     .transform(name => name as AvailabilityZone),
 });
 
-/** Looks between which an instance may lose contact, at least. */
-const LOOKS_PER_CONTACT = 3;
-/** Heartbeats that a peer may miss, at least, before it is suspected. */
-const HEARTBEATS_PER_SUSPICION = 2;
+/** Minimum number of configuration polls within `configurationContactMilliseconds`. */
+const MINIMUM_POLLS_PER_CONTACT_TIMEOUT = 3;
+/** Minimum number of heartbeat intervals within `suspectMilliseconds`. */
+const MINIMUM_HEARTBEATS_PER_SUSPICION_TIMEOUT = 2;
 
-/** The checks between fields run whenever the fields that they read are valid themselves. */
+/** Schema of all settings. A check across several fields runs only if each of them is valid. */
 const settingsSchema = fieldsSchema
   .refine(
     settings =>
       settings.configurationContactMilliseconds >=
-      settings.configurationPollMilliseconds * LOOKS_PER_CONTACT,
+      settings.configurationPollMilliseconds * MINIMUM_POLLS_PER_CONTACT_TIMEOUT,
     {
-      error: `expected at least ${LOOKS_PER_CONTACT} times configurationPollMilliseconds`,
+      error: `expected at least ${MINIMUM_POLLS_PER_CONTACT_TIMEOUT} times configurationPollMilliseconds`,
       path: ['configurationContactMilliseconds'],
-      when: areValid(['configurationContactMilliseconds', 'configurationPollMilliseconds']),
+      when: areFieldsValid(['configurationContactMilliseconds', 'configurationPollMilliseconds']),
     },
   )
   .refine(
     settings =>
-      settings.suspectMilliseconds >= settings.heartbeatMilliseconds * HEARTBEATS_PER_SUSPICION,
+      settings.suspectMilliseconds >=
+      settings.heartbeatMilliseconds * MINIMUM_HEARTBEATS_PER_SUSPICION_TIMEOUT,
     {
-      error: `expected at least ${HEARTBEATS_PER_SUSPICION} times heartbeatMilliseconds`,
+      error: `expected at least ${MINIMUM_HEARTBEATS_PER_SUSPICION_TIMEOUT} times heartbeatMilliseconds`,
       path: ['suspectMilliseconds'],
-      when: areValid(['heartbeatMilliseconds', 'suspectMilliseconds']),
+      when: areFieldsValid(['heartbeatMilliseconds', 'suspectMilliseconds']),
     },
   )
   .refine(settings => settings.peerAddress !== settings.callerAddress, {
-    error: 'expected another address than callerAddress',
+    error: 'expected an address other than callerAddress',
     path: ['peerAddress'],
-    when: areValid(['callerAddress', 'peerAddress']),
+    when: areFieldsValid(['callerAddress', 'peerAddress']),
   })
   .refine(
     settings =>
       settings.operatorAddress !== settings.callerAddress &&
       settings.operatorAddress !== settings.peerAddress,
     {
-      error: 'expected another address than callerAddress and peerAddress',
+      error: 'expected an address other than callerAddress and peerAddress',
       path: ['operatorAddress'],
-      when: areValid(['callerAddress', 'operatorAddress', 'peerAddress']),
+      when: areFieldsValid(['callerAddress', 'operatorAddress', 'peerAddress']),
     },
   );
 
@@ -183,9 +184,9 @@
 export type Settings = z.infer<typeof settingsSchema>;
 
 /**
- * Checks settings in JSON.
+ * Parses and validates settings in JSON.
  *
- * @returns the settings with their defaults, or every problem at once
+ * @returns the settings with defaults filled in, or all problems
  * @example
  * const settings = parseSettings(await readFile('settings.json', 'utf8'));
  */
@@ -203,15 +204,15 @@
   return Err(describeSettingsIssues(fieldsSchema, parsed.error.issues));
 }
 
-/** Every setting with its default, in the order of the operators' page. */
+/** Lists every setting with its default, sorted by path as in docs/operators/settings.md. */
 export function describeSettings(): readonly SettingDescription[] {
   return describeSchema(fieldsSchema);
 }
 
 type FieldName = keyof typeof fieldsSchema.shape;
 
-/** Tells for a check whether the fields that it reads are valid. */
-function areValid(names: readonly FieldName[]): (payload: z.core.ParsePayload) => boolean {
+/** Creates the condition of a check across fields: that each of the fields is valid. */
+function areFieldsValid(names: readonly FieldName[]): (payload: z.core.ParsePayload) => boolean {
   return ({ issues }) =>
     issues.every(
       ({ code, path = [] }) =>
@@ -221,5 +222,5 @@
 
 function isAddress(text: string): boolean {
   const match = /^([\d.]+):([1-9]\d{0,4})$/.exec(text);
-  return match !== null && z.ipv4().safeParse(match[1]).success && Number(match[2]) <= LARGEST_PORT;
+  return match !== null && z.ipv4().safeParse(match[1]).success && Number(match[2]) <= MAXIMUM_PORT;
 }
--- a/packages/instance/src/lifecycle/settingsErrors.ts
+++ b/packages/instance/src/lifecycle/settingsErrors.ts
@@ -4,16 +4,16 @@
 
 import { knownKeysAt } from './describeSettings.js';
 
-/** A problem with the settings and where it stands. */
+/** A problem with a setting. */
 export interface SettingsError {
-  /** JSON path, such as `$.lease.termMilliseconds`. */
+  /** JSON path of the setting, such as `$.lease.termMilliseconds`. */
   readonly path: string;
   readonly message: string;
 }
 
 /**
- * Describes what is wrong with settings, in the order of their paths; an unknown key comes with
- * the nearest known one.
+ * Describes the problems that validation found, sorted by path; for an unknown key, the most
+ * similar known key is suggested.
  */
 export function describeSettingsIssues(
   schema: z.ZodType,
--- a/packages/instance/tests/lifecycle/settings.test.ts
+++ b/packages/instance/tests/lifecycle/settings.test.ts
@@ -20,7 +20,7 @@
 }
 
 describe('parseSettings', () => {
-  it('accepts the least there can be, and fills in the defaults', () => {
+  it('accepts only the required settings and fills in the defaults', () => {
     expect(parseSettings(JSON.stringify(valid)).unwrap()).toMatchObject({
       ...valid,
       configurationContactMilliseconds: 4_000,
@@ -38,25 +38,25 @@
     [{ ...valid, unheardOf: 1 }, '$.unheardOf: unknown setting'],
     [
       { ...valid, peerAddress: '300.0.0.1:1' },
-      '$.peerAddress: expected an IP number and a port, such as 127.0.0.1:4000',
+      '$.peerAddress: expected an IPv4 address and a port, such as 127.0.0.1:4000',
     ],
     [
       { ...valid, peerAddress: '127.0.0.1:70000' },
-      '$.peerAddress: expected an IP number and a port, such as 127.0.0.1:4000',
+      '$.peerAddress: expected an IPv4 address and a port, such as 127.0.0.1:4000',
     ],
     [
       { ...valid, peerAddress: 'localhost:80' },
-      '$.peerAddress: expected an IP number and a port, such as 127.0.0.1:4000',
+      '$.peerAddress: expected an IPv4 address and a port, such as 127.0.0.1:4000',
     ],
     [{ ...valid, instance: 'a b' }, '$.instance: expected an identifier'],
     [{ ...valid, shardCount: 100 }, '$.shardCount: expected a power of two'],
     [
       { ...valid, peerAddress: valid.callerAddress },
-      '$.peerAddress: expected another address than callerAddress',
+      '$.peerAddress: expected an address other than callerAddress',
     ],
     [
       { ...valid, operatorAddress: valid.peerAddress },
-      '$.operatorAddress: expected another address than callerAddress and peerAddress',
+      '$.operatorAddress: expected an address other than callerAddress and peerAddress',
     ],
     [
       { ...valid, configurationPollMilliseconds: 2_000 },
@@ -80,7 +80,7 @@
     expect(problems[0]).toMatch(/^\$: /);
   });
 
-  it('tells all problems at once, those between fields included', () => {
+  it('reports all problems, including those between fields', () => {
     const settings = {
       ...valid,
       configurationPollMilliseconds: 2_000,
@@ -99,18 +99,18 @@
   });
 });
 
-describe('the operators’ page of settings', () => {
+describe('docs/operators/settings.md', () => {
   it('lists every setting with its default, and nothing else', () => {
     const file = new URL('../../../../docs/operators/settings.md', import.meta.url);
     const rows = readFileSync(file, 'utf8')
       .split('\n')
       .filter(line => line.startsWith('| `'));
-    const told = rows.map(row => row.split('|').map(cell => cell.trim()));
-    const expected = describeSettings().map(({ fallback, path }) => [
+    const tableRows = rows.map(row => row.split('|').map(cell => cell.trim()));
+    const expected = describeSettings().map(({ defaultJson, path }) => [
       `\`${path}\``,
-      fallback === undefined ? 'none' : `\`${fallback}\``,
+      defaultJson === undefined ? 'none' : `\`${defaultJson}\``,
     ]);
-    expect(told.map(cells => cells.slice(1, 3))).toEqual(expected);
-    expect(told.every(cells => (cells[3] ?? '') !== '')).toBe(true);
+    expect(tableRows.map(cells => cells.slice(1, 3))).toEqual(expected);
+    expect(tableRows.every(cells => (cells[3] ?? '') !== '')).toBe(true);
   });
 });
