--- a/packages/gateway/src/callers/callerResponse.ts
+++ b/packages/gateway/src/callers/callerResponse.ts
@@ -11,7 +11,7 @@
  * Writes the response to a caller through Node's HTTP server.
  *
  * @example
- * new CallerResponse(response, () => isStopping).sendWhole(200, headers, body);
+ * new CallerResponse(response, () => isStopping).send(200, headers, body);
  */
 export class CallerResponse implements ResponseSink {
   public constructor(
--- a/packages/gateway/src/callers/gatewayServer.ts
+++ b/packages/gateway/src/callers/gatewayServer.ts
@@ -13,7 +13,7 @@
 import { failureText } from '@zincring/core';
 
 import { CallerResponse } from './callerResponse.js';
-import { listenOn, portOf } from '../util/listen.js';
+import { listenOn, getPort } from '../util/listen.js';
 import { readRequestBody } from './readRequestBody.js';
 
 /** Dependencies of a {@link GatewayServer}. */
@@ -80,7 +80,7 @@
 
   /** Port that the server listens on. */
   public get port(): number {
-    return portOf(this.server);
+    return getPort(this.server);
   }
 
   /** Applies the operator's limits on headers and idle connections. */
@@ -174,12 +174,12 @@
       socket.destroy();
       return;
     }
-    const status = statusLineForParseError(code);
+    const status = chooseStatusLine(code);
     socket.end(`HTTP/1.1 ${status}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`);
   }
 }
 
-function statusLineForParseError(code: string | undefined): string {
+function chooseStatusLine(code: string | undefined): string {
   if (code === 'HPE_HEADER_OVERFLOW') {
     return '431 Request Header Fields Too Large';
   }
--- a/packages/gateway/src/callers/requestPipeline.ts
+++ b/packages/gateway/src/callers/requestPipeline.ts
@@ -26,7 +26,7 @@
 import { TurnRecorder } from '../programs/turnRecorder.js';
 import { RequestLifetime } from './requestLifetime.js';
 
-/** A request whose headers were read from its connection. */
+/** A request whose headers have been received. */
 export interface IncomingRequest {
   readonly method: string;
   /** Path and query as the caller sent them. */
@@ -49,7 +49,7 @@
   readonly rates: WorkspaceRates;
   readonly metrics: GatewayMetrics;
   readonly budgets: TurnBudgets;
-  readonly keptTurns: TurnStore;
+  readonly turnStore: TurnStore;
   readonly zoneOutageDetector: ZoneOutageDetector;
 }
 
@@ -183,7 +183,7 @@
     request: RunnableRequest,
     lifetime: RequestLifetime,
   ): Promise<Result<PreparedTurn, ZincringError>> {
-    const composed = await this.dependencies.keptTurns.compose(request, lifetime.signal);
+    const composed = await this.dependencies.turnStore.compose(request, lifetime.signal);
     if (composed.err) {
       return composed;
     }
@@ -300,7 +300,7 @@
   }
 
   private refuse(incoming: IncomingRequest, sink: ResponseSink, error: ZincringError): void {
-    const retryAfter = this.retryAfterSeconds(error);
+    const retryAfter = this.computeRetryAfterSeconds(error);
     this.recordEnd(incoming, 'refused', {
       detail: error.detail,
       kind: error.kind,
@@ -312,14 +312,14 @@
       sink.abort();
       return;
     }
-    const headers = this.dependencies.headerCodec.errorHeaders(
+    const headers = this.dependencies.headerCodec.makeErrorHeaders(
       incoming.facts.requestId,
       retryAfter,
     );
     sink.send(error.status, headers, Buffer.from(JSON.stringify(error.toReport())));
   }
 
-  private retryAfterSeconds({ kind, retryAfterSeconds }: ZincringError): number | undefined {
+  private computeRetryAfterSeconds({ kind, retryAfterSeconds }: ZincringError): number | undefined {
     const defaultSeconds = retryAfterSeconds ?? undefined;
     const isOutage = kind === 'instance-not-ready' || kind === 'store-unavailable';
     return isOutage
--- a/packages/gateway/src/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/configuration/gatewayConfiguration.ts
@@ -12,7 +12,7 @@
 /** A service of a route and its share of the requests. */
 export interface WeightedService {
   readonly service: ServiceName;
-  /** Relative to the weights of the other services. */
+  /** Weight, relative to those of the other services of the route. */
   readonly weight: number;
 }
 
@@ -20,13 +20,13 @@
 export interface GatewayRoute {
   readonly name: RouteName;
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Prefix of the paths; starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RouteKind;
   readonly services: readonly WeightedService[];
-  /** Maximum time for which a caller waits for an answer, in milliseconds. */
+  /** Maximum time for which a caller waits for a response, in milliseconds. */
   readonly timeoutMilliseconds: number;
-  /** Latency target: time within which an answer is fully useful to its caller, in milliseconds. */
+  /** Latency target: time within which a response is fully useful to its caller, in milliseconds. */
   readonly targetMilliseconds: number;
   /** Maximum number of replicas that may run one request. */
   readonly maximumAttempts: number;
@@ -67,7 +67,7 @@
 export interface GatewayWorkspace {
   readonly name: WorkspaceName;
   readonly keys: readonly string[];
-  /** Takes precedence over the priority of the route. */
+  /** Priority of its requests, which takes precedence over that of the route. */
   readonly priority: number | undefined;
   /** Requests per second over all instances; 0 when unlimited. */
   readonly ratePerSecond: number;
@@ -79,9 +79,9 @@
 export interface CallerLimits {
   readonly maximumHeaderBytes: number;
   readonly maximumBodyBytes: number;
-  /** Time within which the headers of a request must arrive. */
+  /** Time within which the headers of a request must arrive, in milliseconds. */
   readonly headerTimeoutMilliseconds: number;
-  /** Time for which a connection may stay idle. */
+  /** Time for which a connection may stay idle, in milliseconds. */
   readonly idleTimeoutMilliseconds: number;
 }
 
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -61,7 +61,7 @@
 const MINIMUM_OUTAGE_MILLISECONDS = 2_500;
 /** Interval at which connections to removed replicas are closed, in milliseconds. */
 const CONNECTION_SWEEP_INTERVAL_MILLISECONDS = 1_000;
-/** Time without a response of the store after which callers should use another instance, in milliseconds: over one wait for changes. */
+/** Time without an answer of the store after which callers should use another instance, in milliseconds: over one wait for changes. */
 const MAXIMUM_STORE_SILENCE_MILLISECONDS = 1_600;
 /** Timeout for the release of reserved tokens during shutdown, in milliseconds: fits the remainder of the grace period. */
 const BUDGET_RELEASE_TIMEOUT_MILLISECONDS = 400;
@@ -141,7 +141,7 @@
       sweptBudgets,
       sweptCrashes,
     ]);
-    const load = new ReplicaLoads(timers, entry => this.maximumConnectionsTo(entry));
+    const load = new ReplicaLoads(timers, entry => this.getMaximumConnections(entry));
     this.pool = new ReplicaPool(this.replicas, load, options.availabilityZone, dependencies.random);
     this.server = new GatewayServer({
       hasStoreContact: () => this.hasStoreContact,
@@ -238,12 +238,12 @@
 
   private makePipeline(): RequestPipeline {
     const { budgets, logger, table } = this;
-    const { random, timers, headerCodec: headerCodec } = this.dependencies;
+    const { random, timers, headerCodec } = this.dependencies;
     return new RequestPipeline({
       budgets,
       configuration: this.configuration,
       crashes: this.crashes,
-      keptTurns: new TurnStore({ logger, rowBytes: this.options.rowBytes, table, timers }),
+      turnStore: new TurnStore({ logger, rowBytes: this.options.rowBytes, table, timers }),
       logger,
       metrics: this.metrics,
       pool: this.pool,
@@ -257,11 +257,11 @@
       }),
       zoneOutageDetector: this.zoneOutageDetector,
       timers,
-      headerCodec: headerCodec,
+      headerCodec,
     });
   }
 
-  private maximumConnectionsTo(entry: ReplicaEntry): number {
+  private getMaximumConnections(entry: ReplicaEntry): number {
     const service = this.configuration.current?.findService(entry.service);
     return Math.min(
       MAXIMUM_CONNECTIONS_PER_REPLICA,
--- a/packages/gateway/src/limits/workspaceCredit.ts
+++ b/packages/gateway/src/limits/workspaceCredit.ts
@@ -6,10 +6,10 @@
 import { elapsedSince } from '../configuration/contactAge.js';
 import { computeMaximumOutstanding } from './workspaceBucket.js';
 
-/** Outcome of a wait for credit; `unknown` when the store did not answer in time. */
+/** Outcome of a wait for credit; `unknown` if the store did not answer in time. */
 export type CreditOutcome = 'denied' | 'granted' | 'unknown';
 
-/** Time for which a workspace counts as over its rate after a grant found it so, in milliseconds: about the run time of a program. */
+/** Time for which a workspace counts as over its rate after a grant showed it, in milliseconds: about the run time of a program. */
 const OVER_RATE_MILLISECONDS = 2_000;
 
 /** Time at which a grant was requested, and time for which the store counts it, in milliseconds. */
@@ -44,7 +44,7 @@
   /** Credit after the last grant that the store answered. */
   public confirmedCredit = 0;
   private lastOverRateAt = -Infinity;
-  /** Time until which requests are denied without a call to the store, on the monotonic clock. */
+  /** Time until which requests are denied without a call to the store, on the monotonic clock, in milliseconds. */
   public deniedUntil = -Infinity;
   private unspentCredit = 0;
   private grantRequestedAt: ClockReading | undefined;
--- a/packages/gateway/src/limits/workspaceRates.ts
+++ b/packages/gateway/src/limits/workspaceRates.ts
@@ -42,19 +42,19 @@
   readonly credit: WorkspaceCredit;
   readonly address: RowAddress;
   row: KnownRow;
-  /** Time at which the store last returned the row, on the monotonic clock. */
+  /** Time at which the store last returned the row, on the monotonic clock, in milliseconds. */
   rowReadAt: number;
   /** Whether a draw is in progress; there is at most one. */
   isDrawing: boolean;
-  /** Time from which credit may be drawn ahead of demand again, on the monotonic clock. */
+  /** Time from which credit may be drawn ahead of demand again, on the monotonic clock, in milliseconds. */
   drawAheadAllowedAt: number;
 }
 
 /** Table that stores the buckets. */
 export const RATE_TABLE = 'rates';
-/** Maximum wait of a request for credit: several answers of a slow store. */
+/** Maximum wait of a request for credit: several response times of a slow store. */
 const CREDIT_TIMEOUT_MILLISECONDS = 800;
-/** Maximum wait for an empty bucket to refill: a fraction of the time that callers allow for an answer. */
+/** Maximum wait for an empty bucket to refill: a fraction of the time that callers allow for a response. */
 const MAXIMUM_REFILL_WAIT_MILLISECONDS = 600;
 /** Minimum delay before an empty bucket is tried again for waiting requests: more frequent draws of several instances conflict. */
 const MINIMUM_RETRY_DELAY_MILLISECONDS = 120;
@@ -81,7 +81,7 @@
  * which spares most requests a call to the store; unused credit is returned or lapses.
  *
  * @example
- * const admission = await rates.admit(workspace, signal);
+ * const admission = await rates.admit(workspace, signal, startsProgram);
  */
 export class WorkspaceRates {
   private readonly bucketStates = new Map<string, BucketState>();
@@ -270,10 +270,10 @@
         unspentWhenSent = credit.unspent;
         const grant = this.computeGrant(parseBucket(row.value), credit, storeValidMilliseconds);
         if (!grant.isChanged) {
-          return { answer: grant, kind: 'leave' };
+          return { result: grant, kind: 'leave' };
         }
         const value = Buffer.from(JSON.stringify(grant.bucket));
-        return { answer: grant, kind: 'write', value };
+        return { result: grant, kind: 'write', value };
       },
       {
         maximumFailures: MAXIMUM_STORE_FAILURES,
@@ -295,8 +295,8 @@
     state.rowReadAt = this.dependencies.timers.now();
     this.recordStoreTime(edited.val.storeTime);
     const spentSinceRequest = Math.max(0, unspentWhenSent - credit.unspent);
-    credit.recordRateUse(edited.val.answer.isOverRate);
-    const { held, immediate, isChanged } = edited.val.answer;
+    credit.recordRateUse(edited.val.result.isOverRate);
+    const { held, immediate, isChanged } = edited.val.result;
     if (isChanged) {
       credit.applyGrant(held, spentSinceRequest, { sentAt, storeValidMilliseconds });
     }
--- a/packages/gateway/src/observation/gatewayMetrics.ts
+++ b/packages/gateway/src/observation/gatewayMetrics.ts
@@ -13,11 +13,11 @@
  * Counters and histograms of an instance, served as text at its metrics address.
  *
  * @example
- * metrics.requests.inc({ end: 'served', kind: 'safe' });
+ * metrics.requests.inc({ end: 'served', kind: 'none' });
  */
 export class GatewayMetrics {
   public readonly registry = new Registry();
-  /** Requests by outcome and by the kind of their route or refusal. */
+  /** Requests by outcome and by the kind of the error that refused them; `none` for other outcomes. */
   public readonly requests = new Counter({
     help: 'Requests by how they ended and why.',
     labelNames: ['end', 'kind'] as const,
@@ -58,7 +58,7 @@
   });
 
   /** Renders the metrics in the Prometheus text format. */
-  public async text(): Promise<string> {
+  public async render(): Promise<string> {
     return await this.registry.metrics();
   }
 }
--- a/packages/gateway/src/observation/metricsServer.ts
+++ b/packages/gateway/src/observation/metricsServer.ts
@@ -13,7 +13,7 @@
 export class MetricsServer extends HttpEndpoint {
   public constructor(metrics: GatewayMetrics) {
     super(response => {
-      metrics.text().then(
+      metrics.render().then(
         text => {
           response.writeHead(200, { 'Content-Type': metrics.registry.contentType });
           response.end(text);
--- a/packages/gateway/src/observation/rateLimitedLogger.ts
+++ b/packages/gateway/src/observation/rateLimitedLogger.ts
@@ -40,7 +40,7 @@
  * lines beyond a bound are dropped, counted and reported. Lines of level `debug` are not bounded.
  *
  * @example
- * const log = new DecisionLog(createLogger('info'), timers, defaultDecisionLogOptions);
+ * const logger = new RateLimitedLogger(createLogger('info'), timers, defaultRateLimitedLoggerOptions);
  */
 export class RateLimitedLogger implements Logger {
   private readonly infoLimiter: LineLimiter;
--- a/packages/gateway/src/programs/budgetRow.ts
+++ b/packages/gateway/src/programs/budgetRow.ts
@@ -70,7 +70,7 @@
   const { settledTokens, holder, inFlightTokens, expectedDemand, waitingDemands, write } = request;
   const { [holder]: ownReservation, ...otherHolds } = account.holds;
   const spent = account.spent + settledTokens;
-  let committed = spent + inFlightTokens + totalReserved(otherHolds);
+  let committed = spent + inFlightTokens + sumReserved(otherHolds);
   let tokens = inFlightTokens;
   const isGranted = waitingDemands.map(({ budget, maximumTokens }) => {
     if (committed + maximumTokens > budget) {
@@ -116,6 +116,6 @@
   return { ...account, holds: Object.fromEntries(holds), spent: account.spent + settledTokens };
 }
 
-function totalReserved(holds: Readonly<Record<string, HolderReservation>>): number {
+function sumReserved(holds: Readonly<Record<string, HolderReservation>>): number {
   return Object.values(holds).reduce((sum, { tokens }) => sum + tokens, 0);
 }
--- a/packages/gateway/src/programs/programBudget.ts
+++ b/packages/gateway/src/programs/programBudget.ts
@@ -240,7 +240,7 @@
     if (edited === undefined) {
       return undefined;
     }
-    const { grant, sentWrite } = edited.answer;
+    const { grant, sentWrite } = edited.result;
     if (grant.isGranted.includes(false) && !edited.isConfirmed && !isJustRead) {
       const fresh = await readRow(this.dependencies.table, this.address);
       return fresh.err ? undefined : await this.requestTokens(requestingTurns, fresh.val.row, true);
@@ -286,11 +286,11 @@
       this.settledTokens === recordedTokens &&
       proposedTokens === ownReservation?.tokens
     ) {
-      return { answer: { grant, sentWrite }, kind: 'leave' };
+      return { result: { grant, sentWrite }, kind: 'leave' };
     }
     this.advanceTokens = Math.min(this.advanceTokens, grant.advanceTokens);
     this.unconfirmedWrites.set(writeNumber, sentWrite);
-    return { answer: { grant, sentWrite }, kind: 'write', value: encodeAccount(grant.account) };
+    return { result: { grant, sentWrite }, kind: 'write', value: encodeAccount(grant.account) };
   }
 
   private async release(): Promise<void> {
@@ -298,12 +298,12 @@
     const edited = await this.editRow(this.row, row => {
       const account = decodeAccount(row.value);
       if (account.holds[this.dependencies.holder] === undefined) {
-        return { answer: undefined, kind: 'leave' };
+        return { result: undefined, kind: 'leave' };
       }
       const value = encodeAccount(
         releaseTokens(account, this.dependencies.holder, this.settledTokens),
       );
-      return { answer: undefined, kind: 'write', value };
+      return { result: undefined, kind: 'write', value };
     });
     this.isWriting = false;
     if (edited !== undefined) {
@@ -316,11 +316,11 @@
     }
   }
 
-  private async editRow<Answer>(
+  private async editRow<EditResult>(
     known: KnownRow,
-    edit: (row: KnownRow) => RowEdit<Answer>,
+    edit: (row: KnownRow) => RowEdit<EditResult>,
     readsFirst = false,
-  ): Promise<EditedRow<Answer> | undefined> {
+  ): Promise<EditedRow<EditResult> | undefined> {
     const { random, table, timers } = this.dependencies;
     const edited = await editRow(table, timers, this.address, known, edit, {
       maximumFailures: MAXIMUM_FAILURES,
--- a/packages/gateway/src/programs/storedTurnRows.ts
+++ b/packages/gateway/src/programs/storedTurnRows.ts
@@ -64,12 +64,12 @@
   };
   const headLine = Buffer.from(`${JSON.stringify(head)}\n`);
   return pieces.map((piece, index) => ({
-    key: keyOf(turn.id, index),
+    key: makeKey(turn.id, index),
     value: index === 0 ? Buffer.concat([headLine, piece]) : piece,
   }));
 }
 
-function keyOf(id: string, chunk: number): string {
+function makeKey(id: string, chunk: number): string {
   return chunk === 0 ? id : `${id}${CHUNK_SEPARATOR}${String(chunk).padStart(4, '0')}`;
 }
 
@@ -81,7 +81,7 @@
 export const sweptTurns: SweptTable = {
   expiresAt: row => (row.key.includes(CHUNK_SEPARATOR) ? undefined : readHead(row.value).expiresAt),
   keysOf: row =>
-    Array.from({ length: readHead(row.value).chunks }, (_unused, index) => keyOf(row.key, index)),
+    Array.from({ length: readHead(row.value).chunks }, (_unused, index) => makeKey(row.key, index)),
   partitions: turnPartitions.names,
   table: TURN_TABLE,
 };
--- a/packages/gateway/src/programs/turnBudgets.ts
+++ b/packages/gateway/src/programs/turnBudgets.ts
@@ -69,7 +69,7 @@
     if (route.kind !== 'streaming' || budget === undefined || facts.programId === undefined) {
       return Ok(undefined);
     }
-    const program = this.programOf(programKeyOf(request));
+    const program = this.findOrAddProgram(makeProgramKey(request));
     const demand: BudgetDemand = { budget, maximumTokens: facts.maximumOutputTokens ?? budget };
     const retentionMilliseconds = Math.max(
       MINIMUM_RETENTION_MILLISECONDS,
@@ -84,7 +84,7 @@
       signal,
     );
     this.logDecision(request, demand, decision);
-    const refusal = refusalOf(decision, this.dependencies.table.retryAfterSeconds);
+    const refusal = createRefusal(decision, this.dependencies.table.retryAfterSeconds);
     if (refusal !== undefined) {
       return Err(refusal);
     }
@@ -103,11 +103,11 @@
     if (route.kind !== 'streaming' || facts.programId === undefined) {
       return false;
     }
-    const programKey = programKeyOf(request);
+    const programKey = makeProgramKey(request);
     if (this.programs.has(programKey)) {
       return false;
     }
-    const read = await readRow(this.dependencies.table, addressOf(programKey));
+    const read = await readRow(this.dependencies.table, makeAddress(programKey));
     return read.ok && read.val.row.version === 0;
   }
 
@@ -116,13 +116,13 @@
     await Promise.all([...this.programs.values()].map(program => program.releaseNow()));
   }
 
-  private programOf(programKey: string): ProgramBudget {
+  private findOrAddProgram(programKey: string): ProgramBudget {
     const known = this.programs.get(programKey);
     if (known !== undefined) {
       return known;
     }
     const holder = `${this.dependencies.holder}.${String(this.createdBudgets++)}`;
-    const program = new ProgramBudget(addressOf(programKey), { ...this.dependencies, holder });
+    const program = new ProgramBudget(makeAddress(programKey), { ...this.dependencies, holder });
     this.programs.set(programKey, program);
     return program;
   }
@@ -156,7 +156,10 @@
   }
 }
 
-function refusalOf(decision: BudgetDecision, retryAfterSeconds: number): ZincringError | undefined {
+function createRefusal(
+  decision: BudgetDecision,
+  retryAfterSeconds: number,
+): ZincringError | undefined {
   switch (decision) {
     case 'held':
     case 'held-ahead':
@@ -171,10 +174,10 @@
   }
 }
 
-function programKeyOf({ facts, workspace }: RunnableRequest): string {
+function makeProgramKey({ facts, workspace }: RunnableRequest): string {
   return `${workspace ?? ''}/${facts.programId ?? ''}`;
 }
 
-function addressOf(programKey: string): RowAddress {
+function makeAddress(programKey: string): RowAddress {
   return { key: programKey, partition: budgetPartitions.of(programKey), table: BUDGET_TABLE };
 }
--- a/packages/gateway/src/programs/turnStore.ts
+++ b/packages/gateway/src/programs/turnStore.ts
@@ -48,7 +48,7 @@
 /**
  * Stores the conversation history of routes on which callers send only their new input. Each turn
  * is stored with its own input and output and the ids of its ancestors before its caller receives
- * the end of the answer.
+ * the end of the response.
  *
  * @example
  * const composed = await turnStore.compose(request, signal);
@@ -105,7 +105,7 @@
         return ancestor;
       }
       if (ancestor.val === undefined) {
-        return Err(this.storeError('an earlier turn of the chain is missing'));
+        return Err(this.createStoreUnavailableError('an earlier turn of the chain is missing'));
       }
       chain.push(ancestor.val);
     }
@@ -137,7 +137,7 @@
       failure = rows.val.message;
       await sleep(this.dependencies.timers, RETRY_PAUSE_MILLISECONDS, signal);
     }
-    return Err(this.storeError(failure));
+    return Err(this.createStoreUnavailableError(failure));
   }
 
   private async readRows(id: TurnId): Promise<Result<readonly PartitionedRow[], PlatformError>> {
@@ -175,7 +175,7 @@
     };
   }
 
-  private storeError(detail: string): ZincringError {
+  private createStoreUnavailableError(detail: string): ZincringError {
     const { retryAfterSeconds } = this.dependencies.table;
     return new ZincringError('store-unavailable', { detail, retryAfterSeconds });
   }
--- a/packages/gateway/src/store/editRow.ts
+++ b/packages/gateway/src/store/editRow.ts
@@ -14,17 +14,17 @@
 export const absentRow: KnownRow = { value: undefined, version: 0 };
 
 /** Decision of an edit, with its result: to write a new value, or to leave the row as it is. */
-export type RowEdit<Answer> =
-  | { readonly kind: 'leave'; readonly answer: Answer }
-  | { readonly kind: 'write'; readonly answer: Answer; readonly value: Buffer };
+export type RowEdit<EditResult> =
+  | { readonly kind: 'leave'; readonly result: EditResult }
+  | { readonly kind: 'write'; readonly result: EditResult; readonly value: Buffer };
 
 /** Outcome of {@link editRow}. */
-export interface EditedRow<Answer> {
-  readonly answer: Answer;
+export interface EditedRow<EditResult> {
+  readonly result: EditResult;
   readonly row: KnownRow;
-  /** Whether the store has confirmed the row on which the answer is based. */
+  /** Whether the store has confirmed the row on which the result is based. */
   readonly isConfirmed: boolean;
-  /** Monotonic clock of the store at its last answer, in milliseconds; absent when it was not called. */
+  /** Time on the store's monotonic clock at its last answer, in milliseconds; `undefined` if the store was not called. */
   readonly storeTime: number | undefined;
 }
 
@@ -40,7 +40,7 @@
   readonly random: () => number;
 }
 
-/** Base of the backoff after a store failure: the time of a few of its usual answers. */
+/** Base of the backoff after a store failure: a few times its usual response time. */
 const FAILURE_BACKOFF_MILLISECONDS = 10;
 /** Maximum pause after the first conflict: the time of one transaction. It doubles with each further conflict. */
 const CONFLICT_BACKOFF_MILLISECONDS = 6;
@@ -50,20 +50,20 @@
 /**
  * Changes a row by compare-and-set on its version, with retries. A write whose answer is lost is
  * sent again with the same version, so that at most one of the two takes effect. `edit` must
- * recognise its own earlier write in the row that it receives. It also receives the monotonic clock
- * of the store once the store has answered.
+ * recognise its own earlier write in the row that it receives. It also receives the time on the
+ * store's monotonic clock once the store has answered.
  *
  * @example
  * const edited = await editRow(table, timers, address, absentRow, edit, options);
  */
-export async function editRow<Answer>(
+export async function editRow<EditResult>(
   table: PartitionedTable,
   timers: TimerService,
   address: RowAddress,
   known: KnownRow,
-  edit: (row: KnownRow, storeTime: number | undefined) => RowEdit<Answer>,
+  edit: (row: KnownRow, storeTime: number | undefined) => RowEdit<EditResult>,
   options: EditOptions,
-): Promise<Result<EditedRow<Answer>, PlatformError>> {
+): Promise<Result<EditedRow<EditResult>, PlatformError>> {
   let row = known;
   let isConfirmed = false;
   let storeTime: number | undefined;
@@ -86,7 +86,7 @@
     }
     const rowEdit = edit(row, storeTime);
     if (rowEdit.kind === 'leave') {
-      return Ok({ answer: rowEdit.answer, isConfirmed, row, storeTime });
+      return Ok({ result: rowEdit.result, isConfirmed, row, storeTime });
     }
     const outcome = await table.transact({
       checks: [{ ...address, version: row.version }],
@@ -96,7 +96,7 @@
     if (outcome.ok && outcome.val.status === 'committed') {
       const writtenRow = { value: rowEdit.value, version: outcome.val.version };
       storeTime = outcome.val.storeTime;
-      return Ok({ answer: rowEdit.answer, isConfirmed: true, row: writtenRow, storeTime });
+      return Ok({ result: rowEdit.result, isConfirmed: true, row: writtenRow, storeTime });
     }
     if (outcome.err) {
       failures++;
--- a/packages/gateway/src/store/monitoredTable.ts
+++ b/packages/gateway/src/store/monitoredTable.ts
@@ -33,8 +33,8 @@
  * immediately instead of waiting for a timeout.
  *
  * @example
- * const table = new WatchedTable(store, timers);
- * if (table.isAway) { return refusal; }
+ * const table = new MonitoredTable(store, timers);
+ * if (table.isUnavailable) { return refusal; }
  */
 export class MonitoredTable implements PartitionedTable {
   private consecutiveFailures = 0;
--- a/packages/gateway/src/store/rowSweeper.ts
+++ b/packages/gateway/src/store/rowSweeper.ts
@@ -33,7 +33,7 @@
  * random partition; the next sweep of that partition continues after it.
  *
  * @example
- * new RowSweeper(parts, [turnTable, budgetTable]).start();
+ * new RowSweeper(dependencies, [sweptTurns, sweptBudgets]).start();
  */
 export class RowSweeper {
   private readonly cursors = new Map<string, string>();
--- a/packages/gateway/src/store/tableFollower.ts
+++ b/packages/gateway/src/store/tableFollower.ts
@@ -68,7 +68,7 @@
     this.nextBackoffMilliseconds = options.backoffMilliseconds;
   }
 
-  /** Age of the last confirmation that the table is up to date here, in milliseconds. */
+  /** Age of the last confirmation that the applied version of the table is current, in milliseconds. */
   public contactMilliseconds(): number {
     return this.contact.milliseconds();
   }
--- a/packages/gateway/src/upstreams/attemptLoop.ts
+++ b/packages/gateway/src/upstreams/attemptLoop.ts
@@ -8,10 +8,10 @@
 import type { GatewayMetrics } from '../observation/gatewayMetrics.js';
 import type { CrashRecord } from './crashRecord.js';
 import type { ReplicaEntry, ReplicaRunId } from './replica.js';
-import type { ExchangeOutcome, ReplicaAnswer } from './replicaExchange.js';
+import type { ExchangeOutcome, ReplicaResponse } from './replicaExchange.js';
 import type { ReplicaPool } from './replicaPool.js';
 
-import { readBody } from './readBody.js';
+import { readResponseBody } from './readResponseBody.js';
 import { exchangeWithReplica } from './replicaExchange.js';
 import { relayStream } from './streamRelay.js';
 
@@ -26,7 +26,7 @@
   /** Headers of the caller as a flat list of names and values. */
   readonly headers: readonly string[];
   readonly body: Buffer;
-  /** Deadline of the answer to the caller, on the monotonic clock, in milliseconds. */
+  /** Deadline of the response to the caller, on the monotonic clock, in milliseconds. */
   readonly deadline: number;
   readonly urgency: number | undefined;
 }
@@ -62,12 +62,12 @@
   readonly metrics: GatewayMetrics;
 }
 
-/** Replicas that may refuse a request before its caller is asked to retry later: most replicas of a small service. */
+/** Number of refusals by replicas after which the caller is asked to retry later: most replicas of a small service. */
 const MAXIMUM_REFUSALS = 6;
 /** Retry delay for callers whose request no replica accepted, in seconds: about the length of a short call. */
 const UNAVAILABLE_RETRY_AFTER_SECONDS = 0.15;
-/** Maximum size of an answer that is buffered until it is complete, in bytes. */
-const MAXIMUM_BUFFERED_ANSWER_BYTES = 1024 * 1024;
+/** Maximum size of a response that is buffered until it is complete, in bytes. */
+const MAXIMUM_BUFFERED_RESPONSE_BYTES = 1024 * 1024;
 
 type AttemptResult =
   | { readonly kind: 'lost'; readonly reason: string }
@@ -75,7 +75,7 @@
   | { readonly kind: 'served'; readonly status: number };
 
 /**
- * Sends a request to replicas until one answers. A request that may have run is sent again only
+ * Sends a request to replicas until one responds. A request that may have run is sent again only
  * if its route allows it and the number of runs stays within the limit of the route; a request that
  * certainly did not run is sent to another replica.
  *
@@ -168,13 +168,13 @@
   }
 
   private async attempt(entry: ReplicaEntry): Promise<AttemptResult> {
-    const load = this.dependencies.pool.loads.stateOf(entry);
+    const load = this.dependencies.pool.loads.findOrAddState(entry);
     load.inFlight++;
     this.possibleRuns++;
     try {
       const outcome = await exchangeWithReplica(this.dependencies.timers, load.agent, entry, {
         body: this.request.body.length === 0 ? undefined : this.request.body,
-        headers: this.replicaHeaders(entry),
+        headers: this.makeReplicaHeaders(entry),
         method: this.request.method,
         path: this.request.path,
         signal: this.control.signal,
@@ -190,7 +190,7 @@
     }
   }
 
-  private replicaHeaders(entry: ReplicaEntry): string[] {
+  private makeReplicaHeaders(entry: ReplicaEntry): string[] {
     const { body, deadline, headers, method, urgency, workspace } = this.request;
     const hasBody = body.length > 0 || method === 'POST' || method === 'PUT' || method === 'PATCH';
     return this.dependencies.headerCodec.toReplicaHeaders(headers, {
@@ -219,55 +219,58 @@
       }
       return outcome.kind === 'lost' ? outcome : { kind: 'not-run', reason: outcome.reason };
     }
-    const { answer } = outcome;
-    const facts = this.dependencies.headerCodec.readResponse(answer.status, answer.headers);
+    const { response } = outcome;
+    const facts = this.dependencies.headerCodec.readResponse(response.status, response.headers);
     if (facts.requestId !== this.request.facts.requestId && !facts.isNotExecuted) {
-      answer.discard();
+      response.discard();
       return { kind: 'lost', reason: 'the answer belongs to another request' };
     }
     if (facts.isNotExecuted) {
-      answer.body.resume();
-      loads.recordEnd(entry, answer.status === 421 ? 'misdirected' : 'full');
-      return { kind: 'not-run', reason: `the replica refused with ${String(answer.status)}` };
+      response.body.resume();
+      loads.recordEnd(entry, response.status === 421 ? 'misdirected' : 'full');
+      return { kind: 'not-run', reason: `the replica refused with ${String(response.status)}` };
     }
-    if (isSuccess(answer.status) && (!facts.hasServerStamp || facts.isEncoded)) {
-      answer.discard();
+    if (isSuccess(response.status) && (!facts.hasServerStamp || facts.isEncoded)) {
+      response.discard();
       return { kind: 'lost', reason: 'the answer does not bear the seal of the replica' };
     }
-    loads.recordEnd(entry, answer.status >= 500 ? 'failed' : 'answered');
-    return await this.forwardAnswer(entry, answer);
+    loads.recordEnd(entry, response.status >= 500 ? 'failed' : 'answered');
+    return await this.forwardResponse(entry, response);
   }
 
-  private async forwardAnswer(entry: ReplicaEntry, answer: ReplicaAnswer): Promise<AttemptResult> {
-    if (this.request.route.kind === 'streaming' && isSuccess(answer.status)) {
+  private async forwardResponse(
+    entry: ReplicaEntry,
+    response: ReplicaResponse,
+  ): Promise<AttemptResult> {
+    if (this.request.route.kind === 'streaming' && isSuccess(response.status)) {
       this.dependencies.pool.recordReplica(this.request.facts, entry);
-      return await this.relayAnswer(answer);
+      return await this.relayResponse(response);
     }
-    const body = await readBody(answer, MAXIMUM_BUFFERED_ANSWER_BYTES);
+    const body = await readResponseBody(response, MAXIMUM_BUFFERED_RESPONSE_BYTES);
     if (body === undefined) {
       return { kind: 'lost', reason: 'the answer broke off' };
     }
-    if (answer.status >= 500 && (this.canRunAgain() || this.sink.isStarted)) {
-      return { kind: 'lost', reason: `the replica failed with ${String(answer.status)}` };
+    if (response.status >= 500 && (this.canRunAgain() || this.sink.isStarted)) {
+      return { kind: 'lost', reason: `the replica failed with ${String(response.status)}` };
     }
     if (this.sink.isStarted) {
-      return { kind: 'lost', reason: `the stream cannot go on after ${String(answer.status)}` };
+      return { kind: 'lost', reason: `the stream cannot go on after ${String(response.status)}` };
     }
     if (this.control.signal.aborted) {
       return { kind: 'lost', reason: 'the caller left or the time ran out' };
     }
-    const headers = this.dependencies.headerCodec.toCallerHeaders(answer.headers);
-    this.sink.send(answer.status, headers, body);
-    return { kind: 'served', status: answer.status };
+    const headers = this.dependencies.headerCodec.toCallerHeaders(response.headers);
+    this.sink.send(response.status, headers, body);
+    return { kind: 'served', status: response.status };
   }
 
-  private async relayAnswer(answer: ReplicaAnswer): Promise<AttemptResult> {
-    const end = await relayStream(answer, {
+  private async relayResponse(response: ReplicaResponse): Promise<AttemptResult> {
+    const end = await relayStream(response, {
       onEvent: async event => {
         if (!this.sink.isStarted) {
           this.sink.startStream(
-            answer.status,
-            this.dependencies.headerCodec.toCallerHeaders(answer.headers),
+            response.status,
+            this.dependencies.headerCodec.toCallerHeaders(response.headers),
           );
         }
         this.lastEventId = event.id ?? this.lastEventId;
@@ -285,12 +288,12 @@
     }
     if (!this.sink.isStarted) {
       this.sink.startStream(
-        answer.status,
-        this.dependencies.headerCodec.toCallerHeaders(answer.headers),
+        response.status,
+        this.dependencies.headerCodec.toCallerHeaders(response.headers),
       );
     }
     this.sink.end();
-    return { kind: 'served', status: answer.status };
+    return { kind: 'served', status: response.status };
   }
 
   private logUnservedAttempt(
--- a/packages/gateway/src/upstreams/crashRecord.ts
+++ b/packages/gateway/src/upstreams/crashRecord.ts
@@ -110,7 +110,7 @@
     if (this.quarantine.size === 0) {
       return undefined;
     }
-    const bodyDigest = digestOf(request);
+    const bodyDigest = computeDigest(request);
     const crashes = this.quarantine.countCrashes(bodyDigest, this.dependencies.timers.now());
     if (crashes < MAXIMUM_CRASHES) {
       return undefined;
@@ -123,7 +123,7 @@
 
   /** Records a replica whose connection was lost while it ran a request, and reports it to the other instances. */
   public record(request: RunnableRequest, entry: ReplicaEntry): void {
-    const bodyDigest = digestOf(request);
+    const bodyDigest = computeDigest(request);
     const crashId = this.dependencies.makeId();
     this.addToQuarantine({
       ageMilliseconds: 0,
@@ -169,7 +169,7 @@
   }
 }
 
-function digestOf(request: RunnableRequest): BodyDigest {
+function computeDigest(request: RunnableRequest): BodyDigest {
   const head = `${request.method} ${request.path}\n${request.workspace ?? ''}\n`;
   return sha256Hex(Buffer.concat([Buffer.from(head), request.body])) as BodyDigest;
 }
--- a/packages/gateway/src/upstreams/replicaDirectory.ts
+++ b/packages/gateway/src/upstreams/replicaDirectory.ts
@@ -37,15 +37,15 @@
  * are missing right after an outage are kept for a grace period in which they can register again.
  *
  * @example
- * directory.replicasOf('minutes-llm' as ServiceName);
+ * directory.findReplicas('minutes-llm' as ServiceName);
  */
 export class ReplicaDirectory {
   private readonly entries = new Map<UpstreamId, ReplicaEntry>();
   private readonly follower: TableFollower;
   private readonly listeners: ((change: ReplicaChange) => void)[] = [];
-  /** Entries missing since an outage, with the end of their grace period on the monotonic clock. */
+  /** Entries missing since an outage, with the end of their grace period on the monotonic clock, in milliseconds. */
   private readonly missingUntil = new Map<UpstreamId, number>();
-  /** End of the grace period after the last outage, on the monotonic clock. */
+  /** End of the grace period after the last outage, on the monotonic clock, in milliseconds. */
   private graceUntil = -Infinity;
   private hasSnapshot = false;
 
@@ -89,8 +89,8 @@
     return this.follower.contactMilliseconds();
   }
 
-  /** Returns the replicas of a service, including draining ones. */
-  public replicasOf(service: ServiceName): readonly ReplicaEntry[] {
+  /** Finds the replicas of a service, including draining ones. */
+  public findReplicas(service: ServiceName): readonly ReplicaEntry[] {
     this.dropExpired();
     return [...this.entries.values()].filter(entry => entry.service === service);
   }
@@ -152,9 +152,14 @@
     const known = this.entries.get(id);
     const entry = decoded.val;
     this.entries.set(id, entry);
-    if (known === undefined || describe(known) !== describe(entry)) {
+    if (known === undefined || describeRegistration(known) !== describeRegistration(entry)) {
       this.logger.info(
-        { event: 'replica-seen', replica: id, service: entry.service, state: describe(entry) },
+        {
+          event: 'replica-seen',
+          replica: id,
+          service: entry.service,
+          state: describeRegistration(entry),
+        },
         'a replica registered or changed its registration',
       );
       this.notify({ entry, kind: 'seen' });
@@ -195,7 +200,7 @@
   }
 }
 
-function describe(entry: ReplicaEntry): string {
+function describeRegistration(entry: ReplicaEntry): string {
   const state = entry.isDraining ? 'draining' : 'ready';
   return `${entry.runId} ${entry.host}:${String(entry.port)} ${state}`;
 }
--- a/packages/gateway/src/upstreams/replicaExchange.ts
+++ b/packages/gateway/src/upstreams/replicaExchange.ts
@@ -18,20 +18,20 @@
 }
 
 /**
- * Outcome of an attempt up to the head of the answer. `not-sent` means that the replica certainly did
+ * Outcome of an attempt up to the head of the response. `not-sent` means that the replica certainly did
  * not run the request, `lost` that it may have run it.
  */
 export type ExchangeOutcome =
-  | { readonly kind: 'answered'; readonly answer: ReplicaAnswer }
+  | { readonly kind: 'answered'; readonly response: ReplicaResponse }
   | { readonly kind: 'lost'; readonly reason: string }
   | { readonly kind: 'not-sent'; readonly reason: string };
 
-/** Head of an answer whose body has yet to be read. */
-export interface ReplicaAnswer {
+/** Response of a replica whose head has been received and whose body has yet to be read. */
+export interface ReplicaResponse {
   readonly status: number;
   readonly headers: readonly string[];
   readonly body: IncomingMessage;
-  /** Closes the connection, even if the answer is complete. */
+  /** Closes the connection, even if the response is complete. */
   readonly discard: () => void;
 }
 
@@ -39,7 +39,7 @@
 const CONNECT_TIMEOUT_MILLISECONDS = 400;
 
 /**
- * Sends one attempt to a replica and waits for the head of its answer.
+ * Sends one attempt to a replica and waits for the head of its response.
  *
  * @example
  * const outcome = await exchangeWithReplica(timers, agent, entry, request);
@@ -63,7 +63,7 @@
     const connection = watchConnection(timers, outgoing);
     outgoing.on('response', incoming => {
       connection.stop();
-      resolve({ answer: buildAnswer(outgoing, incoming), kind: 'answered' });
+      resolve({ response: buildResponse(outgoing, incoming), kind: 'answered' });
     });
     outgoing.on('error', failure => {
       connection.stop();
@@ -106,7 +106,7 @@
   };
 }
 
-function buildAnswer(outgoing: ClientRequest, incoming: IncomingMessage): ReplicaAnswer {
+function buildResponse(outgoing: ClientRequest, incoming: IncomingMessage): ReplicaResponse {
   // A later failure of the request is detected by its incomplete body.
   incoming.on('error', () => undefined);
   return {
--- a/packages/gateway/src/upstreams/replicaLoads.ts
+++ b/packages/gateway/src/upstreams/replicaLoads.ts
@@ -21,7 +21,7 @@
 const INITIAL_AVOID_MILLISECONDS = 1_000;
 /** Maximum time for which a failing replica is avoided, in milliseconds: its registration expires by then. */
 const MAXIMUM_AVOID_MILLISECONDS = 8_000;
-/** Consecutive failed answers after which a replica is avoided, whatever its health checks report. */
+/** Consecutive failed responses after which a replica is avoided, whatever its health checks report. */
 const AVOID_AFTER_FAILURES = 2;
 /** Time for which a replica that refused for lack of capacity is avoided, in milliseconds: about one short call. */
 const FULL_AVOID_MILLISECONDS = 100;
@@ -31,7 +31,7 @@
  * Failing replicas are avoided for some time.
  *
  * @example
- * loads.stateOf(entry).inFlight++;
+ * loads.findOrAddState(entry).inFlight++;
  */
 export class ReplicaLoads {
   private readonly states = new Map<ReplicaRunId, ReplicaLoadState>();
@@ -41,8 +41,8 @@
     private readonly connectionsPerReplica: (entry: ReplicaEntry) => number,
   ) {}
 
-  /** Returns the state of a run, creating it on first use. */
-  public stateOf(entry: ReplicaEntry): ReplicaLoadState {
+  /** Finds the state of a run, or adds it on first use. */
+  public findOrAddState(entry: ReplicaEntry): ReplicaLoadState {
     const known = this.states.get(entry.runId);
     if (known !== undefined) {
       return known;
@@ -59,12 +59,12 @@
 
   /** Whether a replica is currently avoided. */
   public isAvoided(entry: ReplicaEntry): boolean {
-    return this.stateOf(entry).avoidedUntil > this.timers.now();
+    return this.findOrAddState(entry).avoidedUntil > this.timers.now();
   }
 
   /** Records the end of an attempt. */
   public recordEnd(entry: ReplicaEntry, end: AttemptEnd): void {
-    const state = this.stateOf(entry);
+    const state = this.findOrAddState(entry);
     switch (end) {
       case 'answered':
         state.consecutiveFailures = 0;
@@ -73,7 +73,8 @@
         // A single failure is as often caused by the request as by the replica.
         if (++state.consecutiveFailures >= AVOID_AFTER_FAILURES) {
           state.avoidedUntil =
-            this.timers.now() + avoidMilliseconds(state.consecutiveFailures - AVOID_AFTER_FAILURES);
+            this.timers.now() +
+            computeAvoidMilliseconds(state.consecutiveFailures - AVOID_AFTER_FAILURES);
         }
         return;
       case 'full':
@@ -86,7 +87,8 @@
         state.avoidedUntil = this.timers.now() + MAXIMUM_AVOID_MILLISECONDS;
         return;
       case 'unreachable':
-        state.avoidedUntil = this.timers.now() + avoidMilliseconds(state.consecutiveFailures++);
+        state.avoidedUntil =
+          this.timers.now() + computeAvoidMilliseconds(state.consecutiveFailures++);
         return;
       default:
         end satisfies never;
@@ -104,7 +106,7 @@
   }
 }
 
-function avoidMilliseconds(consecutiveFailures: number): number {
+function computeAvoidMilliseconds(consecutiveFailures: number): number {
   return Math.min(
     MAXIMUM_AVOID_MILLISECONDS,
     INITIAL_AVOID_MILLISECONDS * 2 ** Math.min(consecutiveFailures, 8),
--- a/packages/gateway/src/upstreams/replicaPlacement.ts
+++ b/packages/gateway/src/upstreams/replicaPlacement.ts
@@ -64,7 +64,7 @@
       uncachedTokens * PREFILL_MILLISECONDS_PER_TOKEN +
       inFlight * BATCH_COST_MILLISECONDS_PER_REQUEST +
       queuedRequests * QUEUE_COST_MILLISECONDS_PER_REQUEST +
-      commonCost(candidate, request)
+      computeCommonCost(candidate, request)
     );
   });
 }
@@ -90,12 +90,12 @@
       inFlight * (PLAIN_COST_MILLISECONDS_PER_REQUEST / Math.max(1, entry.slots / 6)) +
       (entry.id === preferredReplica ? -AFFINITY_GAIN_MILLISECONDS : 0) +
       random() +
-      commonCost(candidate, request)
+      computeCommonCost(candidate, request)
     );
   });
 }
 
-function commonCost(candidate: PlacementCandidate, request: PlacementRequest): number {
+function computeCommonCost(candidate: PlacementCandidate, request: PlacementRequest): number {
   const { entry, isAvoided } = candidate;
   return (
     (isAvoided ? AVOIDED_COST_MILLISECONDS : 0) +
@@ -121,12 +121,12 @@
 
 function findCheapest(
   candidates: readonly PlacementCandidate[],
-  costOf: (candidate: PlacementCandidate) => number,
+  computeCost: (candidate: PlacementCandidate) => number,
 ): ReplicaEntry | undefined {
   let best: ReplicaEntry | undefined;
   let bestCost = Infinity;
   for (const candidate of candidates) {
-    const cost = costOf(candidate);
+    const cost = computeCost(candidate);
     if (cost < bestCost) {
       best = candidate.entry;
       bestCost = cost;
--- a/packages/gateway/src/upstreams/replicaPool.ts
+++ b/packages/gateway/src/upstreams/replicaPool.ts
@@ -43,7 +43,7 @@
   public choose({ excluded, facts, isSticky, service }: PoolRequest): ReplicaEntry | undefined {
     const candidates = this.findCandidates(service, excluded);
     const request = {
-      affinity: service.engine === undefined ? affinityOf(facts, isSticky) : facts.sessionId,
+      affinity: service.engine === undefined ? chooseAffinity(facts, isSticky) : facts.sessionId,
       availabilityZone: this.availabilityZone,
       previousReplica:
         facts.sessionId === undefined ? undefined : this.previousReplicas.get(facts.sessionId),
@@ -71,11 +71,11 @@
     excluded: ReadonlySet<ReplicaRunId>,
   ): readonly PlacementCandidate[] {
     const candidates = this.directory
-      .replicasOf(service.name)
+      .findReplicas(service.name)
       .filter(entry => !entry.isDraining)
       .map(entry => ({
         entry,
-        inFlight: this.loads.stateOf(entry).inFlight,
+        inFlight: this.loads.findOrAddState(entry).inFlight,
         isAvoided: this.loads.isAvoided(entry),
       }));
     const avoidedCount = candidates.filter(({ isAvoided }) => isAvoided).length;
@@ -87,6 +87,6 @@
   }
 }
 
-function affinityOf(facts: RequestFacts, isSticky: boolean): string | undefined {
+function chooseAffinity(facts: RequestFacts, isSticky: boolean): string | undefined {
   return isSticky ? facts.affinityKey : undefined;
 }
--- a/packages/gateway/src/upstreams/streamRelay.ts
+++ b/packages/gateway/src/upstreams/streamRelay.ts
@@ -1,5 +1,5 @@
 import type { StreamEvent } from '../callers/eventSplitter.js';
-import type { ReplicaAnswer } from './replicaExchange.js';
+import type { ReplicaResponse } from './replicaExchange.js';
 
 import { EventSplitter } from '../callers/eventSplitter.js';
 
@@ -10,24 +10,24 @@
 }
 
 /**
- * Passes on the events of a stream as they arrive, each only when it is complete. A stream is
+ * Forwards the events of a stream as they arrive, each only when it is complete. A stream is
  * complete if its body ended according to its HTTP framing and its last event is complete.
  *
  * @example
- * const end = await relayStream(answer, { onEvent: forward, signal });
+ * const end = await relayStream(response, { onEvent: forward, signal });
  */
 export async function relayStream(
-  answer: ReplicaAnswer,
+  response: ReplicaResponse,
   options: StreamRelayOptions,
 ): Promise<'broken' | 'complete'> {
   const eventSplitter = new EventSplitter();
   try {
-    for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+    for await (const chunk of response.body as AsyncIterable<Buffer>) {
       for (const event of eventSplitter.push(chunk)) {
         await options.onEvent(event);
       }
       if (options.signal.aborted) {
-        answer.discard();
+        response.discard();
         return 'broken';
       }
     }
@@ -35,5 +35,5 @@
     // An error while reading the body means that the connection was lost; the caller of this function logs it.
     return 'broken';
   }
-  return answer.body.complete && eventSplitter.pendingBytes === 0 ? 'complete' : 'broken';
+  return response.body.complete && eventSplitter.pendingBytes === 0 ? 'complete' : 'broken';
 }
--- a/packages/gateway/src/util/httpEndpoint.ts
+++ b/packages/gateway/src/util/httpEndpoint.ts
@@ -4,10 +4,10 @@
 
 import type { ListenAddress } from '../lifecycle/gatewayOptions.js';
 
-import { listenOn, portOf } from './listen.js';
+import { listenOn, getPort } from './listen.js';
 
 /**
- * HTTP server that answers every request in the same way, regardless of its path.
+ * HTTP server that responds to every request in the same way, regardless of its path.
  *
  * @example
  * await new HttpEndpoint(response => response.end('alive')).listen({ host: '127.0.0.1', port: 0 });
@@ -29,7 +29,7 @@
 
   /** Port on which the server listens. */
   public get port(): number {
-    return portOf(this.server);
+    return getPort(this.server);
   }
 
   /** Closes the server and its connections immediately. */
--- a/packages/gateway/src/util/listen.ts
+++ b/packages/gateway/src/util/listen.ts
@@ -22,9 +22,9 @@
  * Returns the port on which a server listens; 0 when it does not listen.
  *
  * @example
- * portOf(server); // 8369
+ * getPort(server); // 8369
  */
-export function portOf(server: Server): number {
+export function getPort(server: Server): number {
   const address = server.address();
   return typeof address === 'object' && address !== null ? address.port : 0;
 }
--- a/packages/gateway/src/util/readBoundedBody.ts
+++ b/packages/gateway/src/util/readBoundedBody.ts
@@ -11,7 +11,7 @@
  *
  * @param maximumBytes maximum size of the body, in bytes
  * @example
- * const body = await readWithin(request, 4_194_304);
+ * const body = await readBoundedBody(request, 4_194_304);
  */
 export async function readBoundedBody(
   message: IncomingMessage,
--- a/packages/gateway/tests/programs/turnStore.test.ts
+++ b/packages/gateway/tests/programs/turnStore.test.ts
@@ -105,21 +105,21 @@
     expect(body).toBe(`${large}1\n${large}\nB`);
   });
 
-  it('answers 404 to a turn that continues one that has not ended', async () => {
+  it('responds with 404 to a turn that continues one that has not ended', async () => {
     const instance = makeInstance();
     await compose(instance, 'a', 'A');
     const next = await compose(instance, 'b', 'B', 'a');
     expect(next.err && next.val.status).toBe(404);
   });
 
-  it('answers 404 to a turn that continues one of another workspace', async () => {
+  it('responds with 404 to a turn that continues one of another workspace', async () => {
     const instance = makeInstance();
     await runTurn(instance, 'a', 'A', ['1']);
     const next = await compose(instance, 'b', 'B', 'a', 'others');
     expect(next.err && next.val.status).toBe(404);
   });
 
-  it('answers 503 while the store is unavailable', async () => {
+  it('responds with 503 while the store is unavailable', async () => {
     await runTurn(makeInstance(), 'a', 'A', ['1']);
     store.faults.isRefusing = true;
     const next = await compose(makeInstance(), 'b', 'B', 'a');
--- a/packages/gateway/tests/support/gatewayFixture.ts
+++ b/packages/gateway/tests/support/gatewayFixture.ts
@@ -225,7 +225,7 @@
   });
 }
 
-/** Number of requests that the replicas have received. */
+/** Counts the requests that the replicas have received. */
 export function countRuns({ replicas }: GatewayFixture): number {
   return replicas.reduce((sum, replica) => sum + replica.receivedRequests.length, 0);
 }
--- a/packages/gateway/tests/support/memoryTable.ts
+++ b/packages/gateway/tests/support/memoryTable.ts
@@ -19,9 +19,9 @@
 export interface StoreFaults {
   /** Every call fails immediately and has no effect. */
   isRefusing: boolean;
-  /** No call gets a response; each fails after the timeout of the client and has no effect. */
+  /** No call is answered; each fails after the timeout of the client and has no effect. */
   isSilent: boolean;
-  /** Transactions take effect, but their responses are lost. */
+  /** Transactions take effect, but their answers are lost. */
   losesAnswers: boolean;
   /** Requests for changes return none although there are some. */
   feedsMissChanges: boolean;
@@ -29,7 +29,7 @@
   latencyMilliseconds: number;
 }
 
-/** Time after which a client gives up on a call without a response, in milliseconds. */
+/** Timeout of a client for a call without an answer, in milliseconds. */
 const CLIENT_TIMEOUT_MILLISECONDS = 400;
 
 /** In-memory store on a manual clock, with faults that tests switch on and off. */
@@ -120,7 +120,7 @@
     const deadline = this.timers.now() + waitMilliseconds;
     while (this.timers.now() < deadline) {
       const changes = this.history.filter(
-        change => versionOf(change) > after && change.row.table === table,
+        change => getVersion(change) > after && change.row.table === table,
       );
       if (changes.length > 0 && !faults.feedsMissChanges) {
         return Ok({ changes, kind: 'changes' });
@@ -194,6 +194,6 @@
   return `${table}/${partition}/${key}`;
 }
 
-function versionOf(change: RowChange): number {
+function getVersion(change: RowChange): number {
   return change.kind === 'written' ? change.row.version : change.version;
 }
--- a/packages/gateway/tests/support/plainHeaderCodec.ts
+++ b/packages/gateway/tests/support/plainHeaderCodec.ts
@@ -5,7 +5,7 @@
 
 /** Header codec for tests: header names in lower case, values without further encoding. */
 export const plainHeaderCodec: HeaderCodec = {
-  errorHeaders: (requestId, retryAfterSeconds) => [
+  makeErrorHeaders: (requestId, retryAfterSeconds) => [
     ...(requestId === undefined ? [] : ['request-id', requestId]),
     ...(retryAfterSeconds === undefined ? [] : ['retry-after', String(retryAfterSeconds)]),
   ],
@@ -32,20 +32,20 @@
     });
   },
   toCallerHeaders: headers => withoutFields(headers, new Set(['connection', 'transfer-encoding'])),
-  toReplicaHeaders: (headers, sending) => [
+  toReplicaHeaders: (headers, attempt) => [
     ...withoutFields(
       headers,
       new Set(['connection', 'content-length', 'key', 'last-event-id', 'remaining']),
     ),
     'expected',
-    sending.replicaId,
+    attempt.replicaId,
     'remaining',
-    String(sending.remainingMilliseconds),
-    ...(sending.workspace === undefined ? [] : ['workspace', sending.workspace]),
-    ...(sending.lastEventId === undefined ? [] : ['last-event-id', sending.lastEventId]),
-    ...(sending.contentLength === undefined
+    String(attempt.remainingMilliseconds),
+    ...(attempt.workspace === undefined ? [] : ['workspace', attempt.workspace]),
+    ...(attempt.lastEventId === undefined ? [] : ['last-event-id', attempt.lastEventId]),
+    ...(attempt.contentLength === undefined
       ? []
-      : ['content-length', String(sending.contentLength)]),
+      : ['content-length', String(attempt.contentLength)]),
   ],
 };
 
--- a/packages/gateway/tests/upstreams/replicaDirectory.test.ts
+++ b/packages/gateway/tests/upstreams/replicaDirectory.test.ts
@@ -17,7 +17,7 @@
   let store: MemoryTable;
   let directory: ReplicaDirectory;
 
-  const addressOf = (id: string): { key: string; partition: string; table: string } => ({
+  const makeAddress = (id: string): { key: string; partition: string; table: string } => ({
     key: id,
     partition: '',
     table: replicaTable,
@@ -32,15 +32,15 @@
       registrationGraceMilliseconds: 1_900,
       waitMilliseconds: 1_000,
     });
-    store.put(addressOf('r1'), sampleReplica('r1'));
-    store.put(addressOf('r2'), sampleReplica('r2'));
+    store.put(makeAddress('r1'), sampleReplica('r1'));
+    store.put(makeAddress('r2'), sampleReplica('r2'));
     directory.start();
     await timers.advance(100);
   });
 
   function usableReplicas(): readonly string[] {
     return directory
-      .replicasOf(engineService.name)
+      .findReplicas(engineService.name)
       .filter(entry => !entry.isDraining)
       .map(entry => entry.id);
   }
@@ -53,19 +53,19 @@
     ['drains', () => sampleReplica('r1', { isDraining: true })],
     ['is replaced by an entry of another writer', () => 'not an entry'],
   ])('stops using a replica that %s in time', async (_name, entry) => {
-    store.put(addressOf('r1'), entry());
+    store.put(makeAddress('r1'), entry());
     await timers.advance(DRAIN_MILLISECONDS / 2);
     expect(usableReplicas()).toEqual(['r2']);
   });
 
   it('stops using a removed replica in time', async () => {
-    store.remove(addressOf('r1'));
+    store.remove(makeAddress('r1'));
     await timers.advance(DRAIN_MILLISECONDS / 2);
     expect(usableReplicas()).toEqual(['r2']);
   });
 
   it('keeps the other replicas when an entry cannot be decoded', async () => {
-    store.put(addressOf('r3'), 'not an entry');
+    store.put(makeAddress('r3'), 'not an entry');
     await timers.advance(1_000);
     expect(usableReplicas()).toEqual(['r1', 'r2']);
   });
@@ -79,13 +79,13 @@
   it('keeps replicas whose entries expired during an outage for the grace period', async () => {
     store.faults.isSilent = true;
     await timers.advance(6_000);
-    store.remove(addressOf('r1'));
-    store.remove(addressOf('r2'));
+    store.remove(makeAddress('r1'));
+    store.remove(makeAddress('r2'));
     store.compact();
     store.faults.isSilent = false;
     await timers.advance(1_000);
     expect(usableReplicas()).toEqual(['r1', 'r2']);
-    store.put(addressOf('r2'), sampleReplica('r2'));
+    store.put(makeAddress('r2'), sampleReplica('r2'));
     await timers.advance(2_500);
     expect(usableReplicas()).toEqual(['r2']);
   });
@@ -97,7 +97,7 @@
         runs.push(change.entry.runId);
       }
     });
-    store.put(addressOf('r1'), sampleReplica('r1', { runId: 'r1@2' as never }));
+    store.put(makeAddress('r1'), sampleReplica('r1', { runId: 'r1@2' as never }));
     await timers.advance(1_000);
     expect(runs).toEqual(['r1@2']);
   });
--- a/packages/gateway/tests/upstreams/replicaLoads.test.ts
+++ b/packages/gateway/tests/upstreams/replicaLoads.test.ts
@@ -21,9 +21,9 @@
     ['a lost connection', ['unreachable'], true],
     ['another replica at the address', ['misdirected'], true],
     ['a refusal for lack of capacity', ['full'], true],
-    ['one failed answer', ['failed'], false],
-    ['two failed answers in a row', ['failed', 'failed'], true],
-    ['failed answers with a success between them', ['failed', 'answered', 'failed'], false],
+    ['one failed response', ['failed'], false],
+    ['two failed responses in a row', ['failed', 'failed'], true],
+    ['failed responses with a success between them', ['failed', 'answered', 'failed'], false],
   ])('evaluates whether to avoid a replica after %s', (_name, ends, isAvoided) => {
     ends.forEach(end => {
       loads.recordEnd(replica, end);
