--- a/packages/platform/src/http/httpClient.ts
+++ b/packages/platform/src/http/httpClient.ts
@@ -107,7 +107,7 @@
   for await (const chunk of response as AsyncIterable<Buffer>) {
     receivedBytes += chunk.length;
     if (receivedBytes > MAXIMUM_RESPONSE_BYTES) {
-      throw new Error('the response of the platform is too large');
+      throw new Error('the answer of the platform is too large');
     }
     chunks.push(chunk);
   }
