--- a/packages/instance/src/peers/answerRelay.ts
+++ b/packages/instance/src/peers/answerRelay.ts
@@ -4,62 +4,62 @@
 
 import type { CallData } from '../programs/programMessages.js';
 
-/** What becomes of a part of an answer. */
+/** Outcome of a data frame: it differs from the bytes relayed, repeats them, or has new ones. */
 export type RelayOutcome =
   | { readonly kind: 'differs' }
   | { readonly kind: 'known' }
   | { readonly kind: 'passed'; readonly frame: CallData };
 
 /**
- * Passes each byte of an answer on once, over any number of attempts that each begin at its start.
- * What was passed on before is compared by digest: an answer that was made anew is never joined to
- * the beginning of another.
+ * Relays each byte of an answer exactly once across attempts, each of which sends the answer from
+ * its first byte. Bytes relayed before are compared by digest, so that an answer generated again is
+ * never joined to the beginning of an earlier one.
  */
 export class AnswerRelay {
-  private readonly passed: Hash = createHash('sha256');
-  private repeated: Hash = createHash('sha256');
-  private repeatedLength = 0;
-  private passedLength = 0;
+  private readonly relayedHash: Hash = createHash('sha256');
+  private attemptHash: Hash = createHash('sha256');
+  private attemptLength = 0;
+  private relayedLength = 0;
 
-  /** Bytes passed on. */
+  /** Number of bytes relayed. */
   public get length(): number {
-    return this.passedLength;
+    return this.relayedLength;
   }
 
-  /** Whether the running attempt has come to the end of what was passed on. */
+  /** Whether the running attempt has reached the end of the bytes relayed. */
   public get hasCaughtUp(): boolean {
-    return this.repeatedLength === this.passedLength;
+    return this.attemptLength === this.relayedLength;
   }
 
-  /** Begins another attempt from the start of the answer. */
+  /** Starts another attempt, from the first byte of the answer. */
   public restart(): void {
-    this.repeated = createHash('sha256');
-    this.repeatedLength = 0;
+    this.attemptHash = createHash('sha256');
+    this.attemptLength = 0;
   }
 
-  /** Takes the next part of the running attempt; its parts come in order and without gaps. */
+  /** Accepts the next frame of the running attempt. Frames must come in order and without gaps. */
   public accept(frame: CallData): RelayOutcome {
-    const known = Math.min(frame.data.length, this.passedLength - this.repeatedLength);
-    if (known > 0) {
-      this.repeated.update(frame.data.subarray(0, known));
-      this.repeatedLength += known;
-      if (this.hasCaughtUp && !this.isSameBeginning()) {
+    const repeatedByteCount = Math.min(frame.data.length, this.relayedLength - this.attemptLength);
+    if (repeatedByteCount > 0) {
+      this.attemptHash.update(frame.data.subarray(0, repeatedByteCount));
+      this.attemptLength += repeatedByteCount;
+      if (this.hasCaughtUp && !this.hasSamePrefix()) {
         return { kind: 'differs' };
       }
     }
-    if (known === frame.data.length) {
+    if (repeatedByteCount === frame.data.length) {
       return { kind: 'known' };
     }
-    const data = frame.data.subarray(known);
-    const offset = this.passedLength;
-    this.passed.update(data);
-    this.repeated.update(data);
-    this.passedLength += data.length;
-    this.repeatedLength += data.length;
+    const data = frame.data.subarray(repeatedByteCount);
+    const offset = this.relayedLength;
+    this.relayedHash.update(data);
+    this.attemptHash.update(data);
+    this.relayedLength += data.length;
+    this.attemptLength += data.length;
     return { frame: { data, kind: 'data', offset }, kind: 'passed' };
   }
 
-  private isSameBeginning(): boolean {
-    return this.passed.copy().digest().equals(this.repeated.copy().digest());
+  private hasSamePrefix(): boolean {
+    return this.relayedHash.copy().digest().equals(this.attemptHash.copy().digest());
   }
 }
--- a/packages/instance/src/peers/fleetCensus.ts
+++ b/packages/instance/src/peers/fleetCensus.ts
@@ -5,38 +5,42 @@
 import type { GoneProgram, ProgramCensus } from '../upstreams/engineSweeper.js';
 import type { PeerClients } from './peerClients.js';
 
-/** What asking the homes needs. */
-export interface FleetCensusOptions {
+/** Options of a lookup of removed programs at their homes. */
+export interface GoneProgramFinderOptions {
   readonly clients: PeerClients;
   readonly shardCount: number;
   readonly self: InstanceId;
-  /** The instance that holds a shard, with its peer address; `undefined` when not known. */
+  /** Returns the holder of a shard; `undefined` when it is not known. */
   readonly holderOf: (shard: ShardId) => ShardHolder | undefined;
-  /** Programs that are gone, of those whose shards this instance holds. */
+  /** Returns those programs that have ended or are unknown, for shards that this instance holds. */
   readonly findGoneHere: (programs: readonly ProgramId[]) => readonly GoneProgram[];
 }
 
-/** Where a shard is held. */
+/** Instance that holds a shard, with its peer address. */
 export interface ShardHolder {
   readonly instance: InstanceId;
   readonly address: string;
 }
 
-const CENSUS_TIMEOUT_MILLISECONDS = 2_000;
+const FIND_GONE_TIMEOUT_MILLISECONDS = 2_000;
 
-/** Asks the homes of programs, each once, which of their programs are gone. */
+/** Asks each home, in one request, which of the given programs have ended or are unknown there. */
 export class FleetCensus implements ProgramCensus {
-  public constructor(private readonly options: FleetCensusOptions) {}
+  public constructor(private readonly options: GoneProgramFinderOptions) {}
 
   public async findGone(programs: readonly ProgramId[]): Promise<readonly GoneProgram[]> {
-    const byAddress = this.groupByHome(programs);
+    const byAddress = this.groupByHomeAddress(programs);
     const answers = await Promise.all(
-      [...byAddress].map(async ([address, asked]) => this.ask(address, asked)),
+      [...byAddress].map(async ([address, programsAtHome]) =>
+        this.findGoneAt(address, programsAtHome),
+      ),
     );
     return answers.flat();
   }
 
-  private groupByHome(programs: readonly ProgramId[]): ReadonlyMap<string, readonly ProgramId[]> {
+  private groupByHomeAddress(
+    programs: readonly ProgramId[],
+  ): ReadonlyMap<string, readonly ProgramId[]> {
     const groups = new Map<string, ProgramId[]>();
     for (const program of programs) {
       const holder = this.options.holderOf(shardOf(program, this.options.shardCount));
@@ -49,7 +53,7 @@
     return groups;
   }
 
-  private async ask(
+  private async findGoneAt(
     address: string,
     programs: readonly ProgramId[],
   ): Promise<readonly GoneProgram[]> {
@@ -59,13 +63,13 @@
     try {
       const response = await this.options.clients
         .at(address)
-        .findGone({ programs: [...programs] }, { timeoutMs: CENSUS_TIMEOUT_MILLISECONDS });
+        .findGone({ programs: [...programs] }, { timeoutMs: FIND_GONE_TIMEOUT_MILLISECONDS });
       return response.gone.map(({ epoch, program }) => ({
         fence: Number(epoch) as Epoch,
         program: program as ProgramId,
       }));
     } catch {
-      // A home that does not answer is asked again by the next sweep.
+      // A home that did not answer is asked again in the next sweep.
       return [];
     }
   }
--- a/packages/instance/src/peers/frameSequence.ts
+++ b/packages/instance/src/peers/frameSequence.ts
@@ -6,16 +6,17 @@
 import { frameFromMessage } from './peerConversions.js';
 
 /**
- * Checks that the frames of one stream follow each other by their offsets. A repeated part is
- * dropped; a gap breaks the stream.
+ * Checks that the frames of one stream are contiguous by their offsets. Drops bytes that were
+ * received before and rejects a gap.
  */
 export class FrameSequence {
-  public constructor(private expected: number) {}
+  public constructor(private expectedOffset: number) {}
 
   /**
-   * Takes the next frame.
+   * Accepts the next frame.
    *
-   * @returns `undefined` for what was there before; throws {@link HomeUnreachableError} on a gap
+   * @returns the frame without repeated bytes; `undefined` when all of them are repeated. Throws
+   *   {@link HomeUnreachableError} on a gap
    */
   public accept(message: CallFrameMessage): CallFrame | undefined {
     const frame = frameFromMessage(message);
@@ -23,18 +24,18 @@
     if (frame.kind === 'failed') {
       return frame;
     }
-    if (offset > this.expected || (frame.kind === 'closed' && offset < this.expected)) {
+    if (offset > this.expectedOffset || (frame.kind === 'closed' && offset < this.expectedOffset)) {
       throw new HomeUnreachableError(true, 'a part of the answer is missing');
     }
     if (frame.kind === 'closed') {
       return frame;
     }
-    const data = frame.data.subarray(this.expected - offset);
+    const data = frame.data.subarray(this.expectedOffset - offset);
     if (data.length === 0) {
       return undefined;
     }
-    const part: CallFrame = { data, kind: 'data', offset: this.expected };
-    this.expected += data.length;
-    return part;
+    const newFrame: CallFrame = { data, kind: 'data', offset: this.expectedOffset };
+    this.expectedOffset += data.length;
+    return newFrame;
   }
 }
--- a/packages/instance/src/peers/gossipParticipant.ts
+++ b/packages/instance/src/peers/gossipParticipant.ts
@@ -1,11 +1,11 @@
 import type { InstanceId } from '@zincring/core';
 
-/** A part of the instance that tells the other instances something with every heartbeat. */
+/** Component of an instance that sends an update to the other instances with every heartbeat. */
 export interface GossipParticipant {
-  /** Name of the fact, the same on every instance. */
+  /** Key of the gossip item, the same on every instance. */
   readonly key: string;
-  /** What this instance tells, as text; `undefined` for nothing. */
+  /** Returns the update of this instance as text; `undefined` when there is nothing to send. */
   tell(): string | undefined;
-  /** Takes in what another instance tells. */
+  /** Applies an update from another instance. */
   hear(instance: InstanceId, value: string): void;
 }
--- a/packages/instance/src/peers/heartbeats.ts
+++ b/packages/instance/src/peers/heartbeats.ts
@@ -17,7 +17,7 @@
 import type { PeerClients } from './peerClients.js';
 import type { GossipParticipant } from './gossipParticipant.js';
 
-/** What an instance tells of itself. */
+/** Description of an instance that it sends with its heartbeats. */
 export interface SelfDescription {
   readonly id: InstanceId;
   readonly address: string;
@@ -26,7 +26,7 @@
   readonly isLeaving: boolean;
 }
 
-/** What heartbeats need. */
+/** Dependencies of {@link Heartbeats}. */
 export interface HeartbeatsOptions {
   readonly membership: Membership;
   readonly participants: readonly GossipParticipant[];
@@ -36,17 +36,17 @@
   readonly logger: Logger;
   readonly intervalMilliseconds: number;
   readonly describeSelf: () => SelfDescription;
-  /** Called with the platform's list whenever it was read. */
+  /** Called with the platform's list of instances each time it has been read. */
   readonly onDirectory: (entries: Parameters<Membership['updateFromDirectory']>[0]) => void;
 }
 
-/** Tells the peers of this instance and learns of them. */
+/** Exchanges the state of this instance and of its peers by periodic heartbeats. */
 export class Heartbeats {
   private readonly subscriptions: TimerSubscription[] = [];
 
   public constructor(private readonly options: HeartbeatsOptions) {}
 
-  /** Begins to send heartbeats. */
+  /** Starts sending heartbeats. */
   public start(): void {
     const { intervalMilliseconds, timers } = this.options;
     this.subscriptions.push(
@@ -64,28 +64,34 @@
     });
   }
 
-  /** Sends one round of heartbeats at once, to spread news. */
+  /** Sends a heartbeat to every peer immediately, without waiting for the responses. */
   public beat(): void {
     this.readDirectory().catch((failure: unknown) => {
-      this.options.logger.warn({ failure: failureText(failure) }, 'instance list not read');
+      this.options.logger.warn(
+        { failure: failureText(failure) },
+        'instance list could not be read',
+      );
     });
     for (const peer of this.options.membership.known) {
       this.exchangeWith(peer.address).catch((failure: unknown) => {
-        this.options.logger.debug({ failure: failureText(failure), peer: peer.id }, 'peer silent');
+        this.options.logger.debug(
+          { failure: failureText(failure), peer: peer.id },
+          'peer did not answer the heartbeat',
+        );
       });
     }
   }
 
-  /** Tells every peer the news; settles when all have answered or been given up. */
+  /** Sends a heartbeat to every peer; resolves once each has answered or failed. */
   public async spread(): Promise<void> {
     const { known } = this.options.membership;
     await Promise.allSettled(known.map(async peer => this.exchangeWith(peer.address)));
   }
 
-  /** Answers a heartbeat of another instance. */
+  /** Applies the heartbeat of another instance and returns the one of this instance. */
   public answer(request: ExchangeRequest): Omit<ExchangeResponse, '$typeName' | '$unknown'> {
-    this.hear(request);
-    return this.describe();
+    this.applyHeartbeat(request);
+    return this.createHeartbeat();
   }
 
   private async readDirectory(): Promise<void> {
@@ -99,11 +105,11 @@
   private async exchangeWith(address: string): Promise<void> {
     const response = await this.options.clients
       .at(address)
-      .exchange(this.describe(), { timeoutMs: this.options.intervalMilliseconds * 2 });
-    this.hear({ ...response, address });
+      .exchange(this.createHeartbeat(), { timeoutMs: this.options.intervalMilliseconds * 2 });
+    this.applyHeartbeat({ ...response, address });
   }
 
-  private describe(): {
+  private createHeartbeat(): {
     instance: string;
     incarnation: string;
     address: string;
@@ -127,7 +133,7 @@
     };
   }
 
-  private hear(
+  private applyHeartbeat(
     message: Pick<ExchangeRequest, 'address' | 'incarnation' | 'instance' | 'items' | 'leaving'> & {
       readonly zone?: string;
     },
--- a/packages/instance/src/peers/homeUnreachableError.ts
+++ b/packages/instance/src/peers/homeUnreachableError.ts
@@ -1,17 +1,17 @@
 import { ZincringError } from '@zincring/core';
 
 /**
- * The home of a program gave no answer, or none that is whole. Unlike a refusal that the home sent,
- * it may be followed by another look for the home: calls carry ids, and a home never starts one
- * that may have run with effects.
+ * Raised when the home of a program gave no answer, or an incomplete one. Unlike a refusal that the
+ * home sent, it may be retried after another lookup of the home: calls carry ids, and a home never
+ * starts a call that may have run with side effects.
  */
 export class HomeUnreachableError extends ZincringError {
-  /** @param hasReached whether the request may have reached the home */
+  /** @param mayHaveReachedHome whether the request may have reached the home */
   public constructor(
-    public readonly hasReached: boolean,
+    public readonly mayHaveReachedHome: boolean,
     detail?: string,
   ) {
-    super(hasReached ? 'call-interrupted' : 'shard-unavailable', {
+    super(mayHaveReachedHome ? 'call-interrupted' : 'shard-unavailable', {
       ...(detail === undefined ? {} : { detail }),
     });
     this.name = 'HomeUnreachableError';
--- a/packages/instance/src/peers/peerClients.ts
+++ b/packages/instance/src/peers/peerClients.ts
@@ -6,7 +6,7 @@
 import { SessionManager, SystemTimerService } from '@zincring/core';
 import { PeerService } from '@zincring/protocol';
 
-/** A client of one instance. */
+/** RPC client of one instance. */
 export type PeerClient = Client<typeof PeerService>;
 
 interface Connection {
@@ -14,19 +14,19 @@
   readonly sessions: SessionManager;
 }
 
-/** Silence on a connection with open streams after which it is checked, in milliseconds. */
+/** Time without data on a connection with open streams before a ping is sent, in milliseconds. */
 const PING_INTERVAL_MILLISECONDS = 1_000;
 
-/** How long a check may take before the connection counts as broken, in milliseconds. */
+/** Time without an answer to a ping before the connection counts as broken, in milliseconds. */
 const PING_TIMEOUT_MILLISECONDS = 3_000;
 
-/** One HTTP/2 connection to every instance that is spoken to. */
+/** Keeps one HTTP/2 connection for each peer address in use. */
 export class PeerClients {
   private readonly connections = new Map<string, Connection>();
 
   public constructor(private readonly timers: TimerService = new SystemTimerService()) {}
 
-  /** The client of a peer address. */
+  /** Returns the client of a peer address. */
   public at(address: string): PeerClient {
     const known = this.connections.get(address);
     if (known !== undefined) {
@@ -47,7 +47,7 @@
     return client;
   }
 
-  /** Closes connections to addresses that are no longer in use. */
+  /** Closes the connections to addresses outside the set. */
   public retain(addresses: ReadonlySet<string>): void {
     for (const [address, connection] of this.connections) {
       if (!addresses.has(address)) {
--- a/packages/instance/src/peers/peerServer.ts
+++ b/packages/instance/src/peers/peerServer.ts
@@ -34,11 +34,11 @@
   summaryToMessage,
 } from './peerConversions.js';
 
-/** What serving other instances needs. */
+/** Dependencies of {@link PeerServer}. */
 export interface PeerServerOptions {
   readonly home: ProgramService;
   readonly heartbeats: Heartbeats;
-  /** Programs that are gone, of those whose shards are held here. */
+  /** Returns those programs that have ended or are unknown, for shards that this instance holds. */
   readonly findGone: (programs: readonly ProgramId[]) => readonly GoneProgram[];
   readonly lender: TokenLender;
   readonly copies: CopyKeeper;
@@ -46,8 +46,8 @@
   readonly timers: TimerService;
 }
 
-/** How long peers may take to read the ends of their streams while draining, in milliseconds. */
-const OPEN_STREAM_MILLISECONDS = 15_000;
+/** Maximum time for peers to read the ends of their streams while draining, in milliseconds. */
+const DRAIN_TIMEOUT_MILLISECONDS = 15_000;
 
 /** Serves other instances over HTTP/2. */
 export class PeerServer {
@@ -64,23 +64,23 @@
           router.service(PeerService, {
             borrow: message => loanToMessage(options.lender.lend(loanRequestFromMessage(message))),
             call: async function* call(message) {
-              yield* answerMessages(options.home.call(callFromMessage(message)), message);
+              yield* createFrameMessages(options.home.call(callFromMessage(message)), message);
             },
             describeProgram: async message =>
-              summaryResponse(await options.home.describe(reference(message))),
+              summaryResultToMessage(await options.home.describe(referenceFromMessage(message))),
             endProgram: async message =>
-              summaryResponse(await options.home.end(reference(message))),
+              summaryResultToMessage(await options.home.end(referenceFromMessage(message))),
             exchange: message => options.heartbeats.answer(message),
             findGone: message => ({
               gone: options
                 .findGone(message.programs as readonly string[] as readonly ProgramId[])
                 .map(({ fence, program }) => ({ epoch: BigInt(fence), program })),
             }),
-            keepCopy: message => ({ kept: options.copies.keep(copyRequest(message)) }),
+            keepCopy: message => ({ kept: options.copies.keep(copyRequestFromMessage(message)) }),
             openProgram: async message =>
-              summaryResponse(
+              summaryResultToMessage(
                 await options.home.open({
-                  ...reference(message),
+                  ...referenceFromMessage(message),
                   deadlineMilliseconds:
                     message.deadlineMilliseconds === 0n
                       ? undefined
@@ -100,12 +100,12 @@
       this.sessions.add(session);
       session.once('close', () => {
         this.sessions.delete(session);
-        this.closeUnused();
+        this.closeIdleSockets();
       });
     });
   }
 
-  /** Listens on an IP number and port. */
+  /** Listens on an IP address and port. */
   public async listen(host: string, port: number): Promise<void> {
     await new Promise<void>((resolve, reject) => {
       this.server.once('error', reject);
@@ -114,8 +114,9 @@
   }
 
   /**
-   * Takes no new streams, lets the open ones end and then closes the connections. A peer that reads
-   * nothing more is not waited for long: the work on every stream has finished by then.
+   * Accepts no new streams, waits for the open ones to end and then closes the connections. The
+   * wait for a peer that has stopped reading is bounded: the work on every stream has finished by
+   * then.
    */
   public async drain(): Promise<void> {
     this.isDraining = true;
@@ -127,37 +128,37 @@
     this.sessions.forEach(session => {
       session.close();
     });
-    this.closeUnused();
-    const limit = this.options.timers.after(OPEN_STREAM_MILLISECONDS, () => {
+    this.closeIdleSockets();
+    const timeout = this.options.timers.after(DRAIN_TIMEOUT_MILLISECONDS, () => {
       this.sockets.forEach(socket => socket.destroy());
     });
     await closed;
-    limit.stop();
+    timeout.stop();
   }
 
-  /** Closes connections that carry no session, or none any more, once the last session has ended. */
-  private closeUnused(): void {
+  /** Closes sockets without an HTTP/2 session, once draining has ended the last session. */
+  private closeIdleSockets(): void {
     if (this.isDraining && this.sessions.size === 0) {
       this.sockets.forEach(socket => socket.destroy());
     }
   }
 }
 
-/** The frames of an answer; the closing one carries the length of the answer as its offset. */
-async function* answerMessages(
+/** Yields the frames of an answer; the closing one has the length of the answer as its offset. */
+async function* createFrameMessages(
   frames: AsyncIterable<CallFrame>,
   { fromOffset }: Pick<CallRequest, 'fromOffset'>,
 ): AsyncGenerator<MessageInitShape<typeof CallFrameSchema>> {
-  let end = fromOffset;
+  let endOffset = fromOffset;
   for await (const frame of frames) {
     if (frame.kind === 'data') {
-      end = BigInt(frame.offset + frame.data.length);
+      endOffset = BigInt(frame.offset + frame.data.length);
     }
-    yield { ...frameToMessage(frame), ...(frame.kind === 'closed' ? { offset: end } : {}) };
+    yield { ...frameToMessage(frame), ...(frame.kind === 'closed' ? { offset: endOffset } : {}) };
   }
 }
 
-function copyRequest(message: KeepCopyRequest): CopyRequest {
+function copyRequestFromMessage(message: KeepCopyRequest): CopyRequest {
   return {
     flushedSequence: Number(message.flushedSequence),
     incarnation: message.incarnation as IncarnationId,
@@ -171,7 +172,7 @@
   };
 }
 
-function reference(message: { readonly workspace: string; readonly program: string }): {
+function referenceFromMessage(message: { readonly workspace: string; readonly program: string }): {
   readonly workspace: WorkspaceName;
   readonly program: ProgramId;
 } {
@@ -181,7 +182,7 @@
   };
 }
 
-function summaryResponse(result: Result<ProgramSummary, ZincringError>): {
+function summaryResultToMessage(result: Result<ProgramSummary, ZincringError>): {
   result:
     | { case: 'error'; value: ReturnType<typeof errorToMessage> }
     | { case: 'state'; value: ReturnType<typeof summaryToMessage> };
--- a/packages/instance/src/peers/remoteProgramService.ts
+++ b/packages/instance/src/peers/remoteProgramService.ts
@@ -19,13 +19,13 @@
 import { HomeUnreachableError } from './homeUnreachableError.js';
 import { callToMessage, errorFromMessage, summaryFromMessage } from './peerConversions.js';
 
-/** Time allowed for a short request to another instance, in milliseconds. */
-const SHORT_REQUEST_MILLISECONDS = 10_000;
+/** Timeout of a request to another instance other than a call, in milliseconds. */
+const SHORT_REQUEST_TIMEOUT_MILLISECONDS = 10_000;
 
-/** How much longer than the call itself its stream is waited for, in milliseconds. */
-const DEADLINE_SLACK_MILLISECONDS = 2_000;
+/** Margin of the timeout of a stream over that of its call, in milliseconds. */
+const STREAM_TIMEOUT_MARGIN_MILLISECONDS = 2_000;
 
-/** Programs whose home is another instance. */
+/** Forwards requests for programs to their home, another instance. */
 export class RemoteProgramService implements ProgramService {
   public constructor(private readonly client: PeerClient) {}
 
@@ -39,7 +39,7 @@
           program,
           workspace,
         },
-        { timeoutMs: SHORT_REQUEST_MILLISECONDS },
+        { timeoutMs: SHORT_REQUEST_TIMEOUT_MILLISECONDS },
       ),
     );
   }
@@ -48,48 +48,52 @@
     reference: ProgramReference,
   ): Promise<Result<ProgramSummary, ZincringError>> {
     return await receiveSummary(
-      this.client.describeProgram(pick(reference), { timeoutMs: SHORT_REQUEST_MILLISECONDS }),
+      this.client.describeProgram(referenceToMessage(reference), {
+        timeoutMs: SHORT_REQUEST_TIMEOUT_MILLISECONDS,
+      }),
     );
   }
 
   public async end(reference: ProgramReference): Promise<Result<ProgramSummary, ZincringError>> {
     return await receiveSummary(
-      this.client.endProgram(pick(reference), { timeoutMs: SHORT_REQUEST_MILLISECONDS }),
+      this.client.endProgram(referenceToMessage(reference), {
+        timeoutMs: SHORT_REQUEST_TIMEOUT_MILLISECONDS,
+      }),
     );
   }
 
   public async *call(request: CallRequest): AsyncGenerator<CallFrame> {
-    const sequence = new FrameSequence(request.fromOffset);
-    const finished = new AbortController();
+    const frameSequence = new FrameSequence(request.fromOffset);
+    const streamAbort = new AbortController();
     const options: CallOptions = {
-      signal: finished.signal,
-      timeoutMs: request.timeoutMilliseconds + DEADLINE_SLACK_MILLISECONDS,
+      signal: streamAbort.signal,
+      timeoutMs: request.timeoutMilliseconds + STREAM_TIMEOUT_MARGIN_MILLISECONDS,
     };
-    let end: CallFrame | undefined;
+    let endFrame: CallFrame | undefined;
     try {
       for await (const message of this.client.call(callToMessage(request), options)) {
-        const frame = end === undefined ? sequence.accept(message) : undefined;
+        const frame = endFrame === undefined ? frameSequence.accept(message) : undefined;
         if (frame?.kind === 'data') {
           yield frame;
         } else {
-          end ??= frame;
+          endFrame ??= frame;
         }
       }
-      yield end ?? unreachable('the stream ended early');
+      yield endFrame ?? createUnreachableFrame('the stream ended early');
     } catch (failure) {
-      yield end ?? { error: classifyPeerFailure(failure), kind: 'failed' };
+      yield endFrame ?? { error: classifyPeerFailure(failure), kind: 'failed' };
     } finally {
       // A stream that is not read to its end stays open and keeps the home from shutting down.
-      finished.abort();
+      streamAbort.abort();
     }
   }
 }
 
-function unreachable(detail: string): CallFrame {
+function createUnreachableFrame(detail: string): CallFrame {
   return { error: new HomeUnreachableError(true, detail), kind: 'failed' };
 }
 
-function pick({ program, workspace }: ProgramReference): ProgramReference {
+function referenceToMessage({ program, workspace }: ProgramReference): ProgramReference {
   return { program, workspace };
 }
 
@@ -120,6 +124,6 @@
     return new ZincringError('deadline-exceeded');
   }
   const cause = error.cause as { readonly code?: unknown } | undefined;
-  const isRefused = error.code === Code.Unavailable && cause?.code === 'ECONNREFUSED';
-  return new HomeUnreachableError(!isRefused, 'the home of the program did not answer');
+  const isConnectionRefused = error.code === Code.Unavailable && cause?.code === 'ECONNREFUSED';
+  return new HomeUnreachableError(!isConnectionRefused, 'the home of the program did not answer');
 }
--- a/packages/instance/src/peers/routedProgramService.ts
+++ b/packages/instance/src/peers/routedProgramService.ts
@@ -16,11 +16,11 @@
 import type { ShardLocations } from './shardLocations.js';
 
 import { AnswerRelay } from './answerRelay.js';
-import { HomeSearch } from './homeSearch.js';
+import { HomeRetry } from './homeRetry.js';
 import { HomeUnreachableError } from './homeUnreachableError.js';
 import { RemoteProgramService } from './remoteProgramService.js';
 
-/** What routing to the homes of programs needs. */
+/** Dependencies of {@link RoutedProgramService}. */
 export interface RoutedProgramServiceOptions {
   readonly self: InstanceId;
   readonly home: ProgramService;
@@ -30,14 +30,14 @@
   readonly clients: PeerClients;
   readonly timers: TimerService;
   readonly shardCount: number;
-  /** How long a shard without a holder is waited for, in milliseconds. */
+  /** Maximum wait for a holder of a shard that answers, in milliseconds. */
   readonly handoverWaitMilliseconds: number;
 }
 
-/** Pause between looks for the holder of a shard, in milliseconds. */
-const LOOK_PAUSE_MILLISECONDS = 50;
+/** Pause before the holder of a shard is looked up again, in milliseconds. */
+const RETRY_PAUSE_MILLISECONDS = 50;
 
-/** Sends each request to the home of its program, here or at another instance. */
+/** Routes each request to the home of its program, on this instance or on another. */
 export class RoutedProgramService implements ProgramService {
   public constructor(private readonly options: RoutedProgramServiceOptions) {}
 
@@ -56,52 +56,53 @@
   }
 
   /**
-   * Follows a call at its home. A home that is gone is looked for anew, and a stream that broke is
-   * continued where it broke. Once a byte has come, no attempt may start the call again.
+   * Relays a call from the home of its program. A home that has become unreachable is looked up
+   * again, and a broken stream is resumed where it broke. Once a byte of the answer has arrived, no
+   * attempt may start the call again.
    */
   public async *call(request: CallRequest): AsyncGenerator<CallFrame> {
     const deadline = this.options.timers.now() + request.timeoutMilliseconds;
     const relay = new AnswerRelay();
-    const search = this.startSearch(deadline);
+    const retry = this.startRetry(deadline);
     for (;;) {
-      const end = yield* this.attempt(request, relay, deadline);
-      if (relay.length > search.lengthSeen) {
-        search.restart(relay.length);
+      const endFrame = yield* this.followOnce(request, relay, deadline);
+      if (relay.length > retry.recordedLength) {
+        retry.recordProgress(relay.length);
       }
-      if (end.kind !== 'failed') {
-        yield end;
+      if (endFrame.kind !== 'failed') {
+        yield endFrame;
         return;
       }
-      const refusal = search.note(end.error);
+      const refusal = retry.recordFailure(endFrame.error);
       if (refusal !== undefined) {
         yield { error: refusal, kind: 'failed' };
         return;
       }
-      await sleep(this.options.timers, LOOK_PAUSE_MILLISECONDS);
+      await sleep(this.options.timers, RETRY_PAUSE_MILLISECONDS);
       relay.restart();
     }
   }
 
-  private async *attempt(
+  private async *followOnce(
     request: CallRequest,
     relay: AnswerRelay,
     deadline: number,
   ): AsyncGenerator<CallFrame, Exclude<CallFrame, { kind: 'data' }>> {
-    const attempt: CallRequest = {
+    const attemptRequest: CallRequest = {
       ...request,
       isAttachOnly: request.isAttachOnly || relay.length > 0,
       timeoutMilliseconds: Math.max(1, Math.ceil(deadline - this.options.timers.now())),
     };
-    for await (const frame of this.homeOf(request.program).call(attempt)) {
+    for await (const frame of this.homeOf(request.program).call(attemptRequest)) {
       if (frame.kind === 'failed') {
         return frame;
       }
       if (frame.kind === 'closed') {
-        return relay.hasCaughtUp ? frame : answerDiffers();
+        return relay.hasCaughtUp ? frame : createAnswerDiffersFrame();
       }
       const outcome = relay.accept(frame);
       if (outcome.kind === 'differs') {
-        return answerDiffers();
+        return createAnswerDiffersFrame();
       }
       if (outcome.kind === 'passed') {
         yield outcome.frame;
@@ -114,26 +115,26 @@
     program: ProgramId,
     operation: (home: ProgramService) => Promise<Result<ProgramSummary, ZincringError>>,
   ): Promise<Result<ProgramSummary, ZincringError>> {
-    const search = this.startSearch(Number.POSITIVE_INFINITY);
+    const retry = this.startRetry(Number.POSITIVE_INFINITY);
     for (;;) {
       const result = await operation(this.homeOf(program));
       if (result.ok) {
         return result;
       }
-      const refusal = search.note(result.val);
+      const refusal = retry.recordFailure(result.val);
       if (refusal !== undefined) {
         return Err(refusal);
       }
-      await sleep(this.options.timers, LOOK_PAUSE_MILLISECONDS);
+      await sleep(this.options.timers, RETRY_PAUSE_MILLISECONDS);
     }
   }
 
-  private startSearch(deadline: number): HomeSearch {
+  private startRetry(deadline: number): HomeRetry {
     const { handoverWaitMilliseconds, timers } = this.options;
-    return new HomeSearch({
+    return new HomeRetry({
       deadline,
       now: () => timers.now(),
-      waitMilliseconds: handoverWaitMilliseconds,
+      maximumWaitMilliseconds: handoverWaitMilliseconds,
     });
   }
 
@@ -152,7 +153,7 @@
   }
 }
 
-function answerDiffers(): Extract<CallFrame, { kind: 'failed' }> {
+function createAnswerDiffersFrame(): Extract<CallFrame, { kind: 'failed' }> {
   return {
     error: new ZincringError('call-interrupted', { detail: 'the answer was made anew' }),
     kind: 'failed',
--- a/packages/instance/src/peers/shardLocations.ts
+++ b/packages/instance/src/peers/shardLocations.ts
@@ -2,7 +2,7 @@
 
 import type { GossipParticipant } from './gossipParticipant.js';
 
-/** Which instance holds which shard, as the instances tell. */
+/** Holders of the shards, as reported by the instances. */
 export class ShardLocations implements GossipParticipant {
   public readonly key = 'shards';
   private readonly holders = new Map<ShardId, InstanceId>();
@@ -15,20 +15,20 @@
   }
 
   public hear(instance: InstanceId, value: string): void {
-    this.update(instance, JSON.parse(value) as ShardId[]);
+    this.setShards(instance, JSON.parse(value) as ShardId[]);
   }
 
-  /** Takes over the shards that an instance says it holds. */
-  public update(instance: InstanceId, shards: readonly ShardId[]): void {
-    this.forget(instance);
+  /** Replaces the shards that an instance reports as held. */
+  public setShards(instance: InstanceId, shards: readonly ShardId[]): void {
+    this.removeInstance(instance);
     this.shardsOf.set(instance, shards);
     for (const shard of shards) {
       this.holders.set(shard, instance);
     }
   }
 
-  /** Forgets an instance. */
-  public forget(instance: InstanceId): void {
+  /** Removes an instance with its shards. */
+  public removeInstance(instance: InstanceId): void {
     for (const shard of this.shardsOf.get(instance) ?? []) {
       if (this.holders.get(shard) === instance) {
         this.holders.delete(shard);
@@ -37,7 +37,7 @@
     this.shardsOf.delete(instance);
   }
 
-  /** The instance last heard to hold a shard. */
+  /** Returns the instance that last reported a shard as held. */
   public holderOf(shard: ShardId): InstanceId | undefined {
     return this.holders.get(shard);
   }
--- a/packages/instance/tests/peers/routedProgramService.test.ts
+++ b/packages/instance/tests/peers/routedProgramService.test.ts
@@ -15,7 +15,7 @@
 import { RoutedProgramService } from '../../src/peers/routedProgramService.js';
 import { ShardLocations } from '../../src/peers/shardLocations.js';
 
-/** What the home does with the frames of one attempt. */
+/** Fault of one attempt; `remake` has the home send other bytes from then on. */
 type Fault =
   | { readonly kind: 'cut'; readonly after: number }
   | { readonly kind: 'drop'; readonly frame: number }
@@ -24,7 +24,7 @@
   | { readonly kind: 'repeat'; readonly frame: number }
   | { readonly kind: 'swap'; readonly frame: number };
 
-const WAIT_MILLISECONDS = 2_000;
+const HANDOVER_WAIT_MILLISECONDS = 2_000;
 const CLOSED = { digest: 'd', durable: true, turn: 1 };
 
 const request: CallRequest = {
@@ -58,11 +58,11 @@
   return [...frames, create(CallFrameSchema, { frame: closed, offset: BigInt(offset) })];
 }
 
-/** A home that treats its attempts by a list of faults, and the later ones well. */
+/** Home that applies one fault of a list to each attempt, and none to the attempts after them. */
 class FaultyHome {
   public attempts = 0;
   public starts = 0;
-  private remade = false;
+  private isAnswerChanged = false;
 
   public constructor(
     private readonly parts: readonly Uint8Array[],
@@ -77,8 +77,10 @@
       yield create(CallFrameSchema, { frame: { case: 'error', value: error } });
       return;
     }
-    this.remade ||= fault?.kind === 'remake';
-    const parts = this.remade ? this.parts.map(part => part.map(byte => byte ^ 1)) : this.parts;
+    this.isAnswerChanged ||= fault?.kind === 'remake';
+    const parts = this.isAnswerChanged
+      ? this.parts.map(part => part.map(byte => byte ^ 1))
+      : this.parts;
     yield* applyFault(framesOf(parts), fault);
   }
 }
@@ -91,20 +93,20 @@
     yield* frames.slice(0, fault.after % frames.length);
     throw new ConnectError('cut', Code.Unavailable);
   }
-  const place = fault !== undefined && 'frame' in fault ? fault.frame % frames.length : 0;
+  const frameIndex = fault !== undefined && 'frame' in fault ? fault.frame % frames.length : 0;
   if (fault?.kind === 'drop') {
-    frames.splice(place, 1);
+    frames.splice(frameIndex, 1);
   }
   if (fault?.kind === 'repeat') {
-    frames.splice(place, 0, ...frames.slice(Math.max(0, place - 1), place + 1));
+    frames.splice(frameIndex, 0, ...frames.slice(Math.max(0, frameIndex - 1), frameIndex + 1));
   }
   if (fault?.kind === 'swap') {
-    frames.push(...frames.splice(place, 1));
+    frames.push(...frames.splice(frameIndex, 1));
   }
   yield* frames;
 }
 
-function route(home: FaultyHome, timers: ManualTimerService): RoutedProgramService {
+function createRoutedService(home: FaultyHome, timers: ManualTimerService): RoutedProgramService {
   const transport = createRouterTransport(router => {
     router.service(PeerService, {
       call: async function* call(message) {
@@ -128,7 +130,7 @@
   membership.leave();
   return new RoutedProgramService({
     clients: { at: () => createClient(PeerService, transport) } as unknown as PeerClients,
-    handoverWaitMilliseconds: WAIT_MILLISECONDS,
+    handoverWaitMilliseconds: HANDOVER_WAIT_MILLISECONDS,
     home: undefined as unknown as ProgramService,
     isHeldHere: () => false,
     locations: new ShardLocations(() => []),
@@ -139,12 +141,12 @@
   });
 }
 
-async function follow(home: FaultyHome): Promise<readonly CallFrame[]> {
+async function collectFrames(home: FaultyHome): Promise<readonly CallFrame[]> {
   const timers = new ManualTimerService();
   const frames: CallFrame[] = [];
   const progress = { isDone: false };
-  const following = (async () => {
-    for await (const frame of route(home, timers).call(request)) {
+  const collecting = (async () => {
+    for await (const frame of createRoutedService(home, timers).call(request)) {
       frames.push(frame);
     }
   })().finally(() => {
@@ -154,7 +156,7 @@
     await new Promise(resolve => setImmediate(resolve));
     await timers.advance(10);
   }
-  await following;
+  await collecting;
   return frames;
 }
 
@@ -163,24 +165,26 @@
   fc.record({ frame: fc.nat(9), kind: fc.constantFrom('drop', 'repeat', 'swap') }),
   fc.constantFrom({ kind: 'refuse' } as const, { kind: 'remake' } as const),
 );
-const answers = fc.array(fc.uint8Array({ maxLength: 5, minLength: 1 }), { maxLength: 8 });
+const answerParts = fc.array(fc.uint8Array({ maxLength: 5, minLength: 1 }), { maxLength: 8 });
 
 describe(RoutedProgramService, () => {
-  it('gives each byte of one answer once, or a clear end, whatever the home does', async () => {
+  it('relays each byte of one answer once, or ends with an error, under any faults of the home', async () => {
     await fc.assert(
-      fc.asyncProperty(answers, fc.array(faults, { maxLength: 4 }), async (parts, plan) => {
+      fc.asyncProperty(answerParts, fc.array(faults, { maxLength: 4 }), async (parts, plan) => {
         const home = new FaultyHome(parts, plan);
-        const frames = await follow(home);
+        const frames = await collectFrames(home);
         const end = frames.at(-1)!;
         const data = frames.filter(frame => frame.kind === 'data');
-        const got = Buffer.concat(data.map(frame => frame.data));
-        const whole = Buffer.concat(parts);
-        const remade = Buffer.from(whole.map(byte => byte ^ 1));
-        const isBeginning = [whole, remade].some(each => each.subarray(0, got.length).equals(got));
-        expect(isBeginning).toBe(true);
+        const received = Buffer.concat(data.map(frame => frame.data));
+        const completeAnswer = Buffer.concat(parts);
+        const changedAnswer = Buffer.from(completeAnswer.map(byte => byte ^ 1));
+        const isPrefix = [completeAnswer, changedAnswer].some(each =>
+          each.subarray(0, received.length).equals(received),
+        );
+        expect(isPrefix).toBe(true);
         expect(frames.slice(0, -1).every(frame => frame.kind === 'data')).toBe(true);
         if (end.kind === 'closed') {
-          expect(got.length).toBe(whole.length);
+          expect(received.length).toBe(completeAnswer.length);
         } else {
           expect(end).toMatchObject({ error: { kind: 'call-interrupted', ran: 'maybe' } });
         }
@@ -192,31 +196,33 @@
     );
   });
 
-  it('starts a call no more once a byte of its answer has come', async () => {
+  it('does not start a call again once a byte of its answer has arrived', async () => {
     const home = new FaultyHome([Buffer.from('abc')], [{ after: 1, kind: 'cut' }]);
-    await follow(home);
+    await collectFrames(home);
     expect(home).toMatchObject({ attempts: 2, starts: 1 });
   });
 
-  it('does not say "not run" when an earlier attempt was interrupted', async () => {
+  it('does not report "not run" when an earlier attempt was interrupted', async () => {
     const plan: Fault[] = [{ after: 0, kind: 'cut' }];
     const refusals = Array.from({ length: 500 }, (): Fault => ({ kind: 'refuse' }));
-    const frames = await follow(new FaultyHome([Buffer.from('abc')], [...plan, ...refusals]));
+    const frames = await collectFrames(
+      new FaultyHome([Buffer.from('abc')], [...plan, ...refusals]),
+    );
     expect(frames).toMatchObject([
       { error: { kind: 'call-interrupted', ran: 'maybe', retryAfterSeconds: 2 }, kind: 'failed' },
     ]);
   });
 
-  it('says "not run" when every attempt was refused, after the bounded wait', async () => {
+  it('reports "not run" after the maximum wait when every attempt was refused', async () => {
     const refusals = Array.from({ length: 500 }, (): Fault => ({ kind: 'refuse' }));
     const home = new FaultyHome([], refusals);
-    const frames = await follow(home);
+    const frames = await collectFrames(home);
     expect(frames).toMatchObject([{ error: { kind: 'shard-unavailable', ran: 'no' } }]);
-    expect(home.attempts).toBeLessThanOrEqual(WAIT_MILLISECONDS / 50 + 1);
+    expect(home.attempts).toBeLessThanOrEqual(HANDOVER_WAIT_MILLISECONDS / 50 + 1);
   });
 
-  it('keeps the digest and turn of the closing frame', async () => {
-    const frames = await follow(new FaultyHome([Buffer.from('abc')], []));
+  it('relays the digest and turn of the closing frame', async () => {
+    const frames = await collectFrames(new FaultyHome([Buffer.from('abc')], []));
     expect(frames.at(-1)).toMatchObject({ digest: 'd' as HistoryDigest, kind: 'closed', turn: 1 });
   });
 });
