--- a/packages/instance/src/configuration/changeHistory.ts
+++ b/packages/instance/src/configuration/changeHistory.ts
@@ -1,45 +1,45 @@
 import type { Change, Snapshot, Update } from '@zincring/coordination';
 
-/** Most changes that are kept. */
-const MOST_CHANGES = 256;
-/** Most characters in the lines of the changes that are kept. */
-const MOST_CHARACTERS = 256 * 1024;
+/** Maximum number of changes kept. */
+const MAXIMUM_CHANGES = 256;
+/** Maximum number of characters in the lines of the changes kept. */
+const MAXIMUM_CHARACTERS = 256 * 1024;
 
-/** The latest changes, for peers that cannot reach the store. */
+/** Keeps the latest changes for peers that cannot reach the store. */
 export class ChangeHistory {
   private changes: Change[] = [];
   private characters = 0;
 
-  /** Keeps a change that follows the last one kept; any other begins the history anew. */
+  /** Adds a change; one that does not directly follow the last starts the history from scratch. */
   public add(change: Change): void {
     const last = this.changes.at(-1);
     if (last !== undefined && last.version + 1 !== change.version) {
       this.clear();
     }
     this.changes.push(change);
-    this.characters += sizeOf(change);
-    while (this.changes.length > MOST_CHANGES || this.characters > MOST_CHARACTERS) {
+    this.characters += countCharacters(change);
+    while (this.changes.length > MAXIMUM_CHANGES || this.characters > MAXIMUM_CHARACTERS) {
       const oldest = this.changes.shift();
       if (oldest === undefined) {
         return;
       }
-      this.characters -= sizeOf(oldest);
+      this.characters -= countCharacters(oldest);
     }
   }
 
-  /** Forgets everything, as after a jump. */
+  /** Removes all changes, as after a snapshot was applied. */
   public clear(): void {
     this.changes = [];
     this.characters = 0;
   }
 
   /**
-   * What brings a reader of a version up to the newest: the changes kept, or a whole version
-   * where they do not reach back far enough.
+   * Returns the update that brings a reader of a version up to the newest: the changes since then,
+   * or a snapshot when the changes kept do not reach back far enough.
    */
   public updateAfter(after: number, newest: number, snapshot: () => Snapshot): Update {
-    const first = this.changes[0]?.version;
-    if (first !== undefined && first <= after + 1) {
+    const oldestVersion = this.changes[0]?.version;
+    if (oldestVersion !== undefined && oldestVersion <= after + 1) {
       const changes = this.changes.filter(change => change.version > after);
       return { changes, newest, snapshot: undefined };
     }
@@ -47,6 +47,6 @@
   }
 }
 
-function sizeOf(change: Change): number {
+function countCharacters(change: Change): number {
   return [...change.added, ...change.removed].reduce((sum, line) => sum + line.length, 0);
 }
--- a/packages/instance/src/configuration/configurationFollower.ts
+++ b/packages/instance/src/configuration/configurationFollower.ts
@@ -4,78 +4,80 @@
 
 import { failureText } from '@zincring/core';
 
-import type { ConfigurationContact } from './configurationContact.js';
+import type { ConfigurationFreshness } from './configurationFreshness.js';
 import type { ConfigurationSource } from './configurationSource.js';
 import type { BlockedVersion, ConfigurationDifference } from './rulesInForce.js';
 
 import { RulesInForce } from './rulesInForce.js';
 
-/** What following the configuration needs. */
+/** Dependencies of {@link ConfigurationFollower}. */
 export interface ConfigurationFollowerOptions {
   readonly store: ConfigurationSource;
-  /** The configuration that a peer has; `undefined` when the peer is not known. */
+  /** Returns the source that reads from a peer; `undefined` when the peer is not known. */
   readonly peer: (instance: InstanceId) => ConfigurationSource | undefined;
-  readonly contact: ConfigurationContact;
+  readonly freshness: ConfigurationFreshness;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly metrics: Metrics;
-  /** Time between looks at the head, in milliseconds. */
+  /** Interval between polls of the store, in milliseconds. */
   readonly pollMilliseconds: number;
 }
 
-/** What a peer tells of its configuration. */
-export interface HeardConfiguration {
+/** Report of a peer on its configuration. */
+export interface PeerConfigurationReport {
   readonly instance: InstanceId;
   /** Version in force at the peer. */
   readonly version: number;
-  /** Newest version that the peer knows. */
+  /** Newest version known to the peer. */
   readonly newestVersion: number;
-  /** Time since the peer itself read the store; `undefined` when it has not. */
+  /** Time since the peer itself read the store, in milliseconds; `undefined` when it has not. */
   readonly storeAgeMilliseconds: number | undefined;
 }
 
-/** Called with every newer configuration. */
+/** Called each time a newer configuration comes into force. */
 export type ConfigurationListener = (
   configuration: Configuration,
   difference: ConfigurationDifference,
 ) => void;
 
 /**
- * Keeps the newest configuration in force; its version never goes down. Newer versions come from
- * the store, or from a peer while this instance cannot reach the store.
+ * Keeps the newest configuration in force; its version never decreases. Newer versions are read
+ * from the store, or from a peer while this instance cannot reach the store.
  */
 export class ConfigurationFollower {
   private readonly rules = new RulesInForce();
   private readonly listeners = new Set<ConfigurationListener>();
-  private newest = 0;
+  private newestKnown = 0;
   private hasBeenReady = false;
   private isStoreReadable = true;
   private isPolling = false;
-  private isAskingPeer = false;
-  private pollRequests = 0;
+  private isReadingFromPeer = false;
+  private pollRequestCount = 0;
   private subscription: TimerSubscription | undefined;
 
   public constructor(private readonly options: ConfigurationFollowerOptions) {}
 
-  /** The configuration in force; `undefined` until the first has been read. */
+  /** Configuration in force; `undefined` until the first has been read. */
   public get current(): Configuration | undefined {
     return this.rules.configuration;
   }
 
-  /** The configuration in force if callers may be served by it. */
+  /** Configuration in force; `undefined` while callers may not be served. */
   public get usable(): Configuration | undefined {
     return this.isReady ? this.current : undefined;
   }
 
   /**
-   * Whether callers may be served: the newest version known is in force, or was known too late to
-   * be, and this instance would have heard of a newer one. A version that cannot be taken up stops
-   * only an instance that has not been ready before.
+   * Whether callers may be served: either the configuration was confirmed to be current within the
+   * contact time, so that any version not in force yet is recent, or no newer version is known and
+   * a majority of the instances, which would report one, is heard from. A version that cannot be
+   * applied stops only an instance that has not been ready before.
    */
   public get isReady(): boolean {
-    const { contact } = this.options;
+    const { freshness } = this.options;
     const isBlocked = this.rules.blocked !== undefined && !this.hasBeenReady;
-    const isCurrent = contact.isVouchedFor || (this.isCaughtUp && contact.hearsMost);
+    const isCurrent =
+      freshness.isConfirmedCurrent || (this.isCaughtUp && freshness.hearsFromMajority);
     const isReady = this.current !== undefined && !isBlocked && isCurrent;
     this.hasBeenReady ||= isReady;
     return isReady;
@@ -86,22 +88,22 @@
     return this.rules.version;
   }
 
-  /** The newest version that was heard of. */
+  /** Newest version known, in force or not. */
   public get newestVersion(): number {
-    return Math.max(this.newest, this.rules.version);
+    return Math.max(this.newestKnown, this.rules.version);
   }
 
-  /** The version that cannot be taken up, where there is one. */
+  /** Version that cannot be applied; `undefined` when there is none. */
   public get blocked(): BlockedVersion | undefined {
     return this.rules.blocked;
   }
 
-  /** Milliseconds since the state of the store that was last read; `undefined` before the first. */
+  /** Age of the state last read from the store, in milliseconds; `undefined` before the first. */
   public get storeAgeMilliseconds(): number | undefined {
-    return this.options.contact.storeAgeMilliseconds;
+    return this.options.freshness.storeAgeMilliseconds;
   }
 
-  /** Calls a listener with every newer configuration. */
+  /** Calls a listener each time a newer configuration comes into force. */
   public subscribe(listener: ConfigurationListener): TimerSubscription {
     this.listeners.add(listener);
     return {
@@ -111,113 +113,119 @@
     };
   }
 
-  /** What brings a reader of a version up to what this instance has. */
+  /** Returns the update that brings a reader of a version up to the one in force here. */
   public updateAfter(after: number): Update {
     return this.rules.updateAfter(after, this.newestVersion);
   }
 
-  /** Begins to look for changes. */
+  /** Starts polling for changes. */
   public start(): void {
     this.subscription = this.options.timers.every(this.options.pollMilliseconds, () => {
-      this.look();
+      this.pollInBackground();
     });
-    this.look();
+    this.pollInBackground();
   }
 
-  /** Stops looking. */
+  /** Stops polling. */
   public stop(): void {
     this.subscription?.stop();
   }
 
-  /** Takes in what a peer tells; a newer version is looked for at once. */
-  public hear(heard: HeardConfiguration): void {
-    const { instance, storeAgeMilliseconds } = heard;
-    const told = Math.max(heard.version, heard.newestVersion);
-    this.newest = Math.max(this.newest, told);
-    const isCurrent = this.current !== undefined && told <= this.rules.judgedVersion;
-    this.options.contact.heard(instance, storeAgeMilliseconds, isCurrent);
-    if (heard.version <= this.rules.judgedVersion && this.current !== undefined) {
+  /** Records the report of a peer; a newer version is read immediately. */
+  public recordPeerReport(report: PeerConfigurationReport): void {
+    const { instance, storeAgeMilliseconds } = report;
+    const reportedVersion = Math.max(report.version, report.newestVersion);
+    this.newestKnown = Math.max(this.newestKnown, reportedVersion);
+    const isCurrent = this.current !== undefined && reportedVersion <= this.rules.evaluatedVersion;
+    this.options.freshness.recordPeerReport(instance, storeAgeMilliseconds, isCurrent);
+    if (report.version <= this.rules.evaluatedVersion && this.current !== undefined) {
       return;
     }
-    if (this.options.contact.seesStore) {
-      this.look();
+    if (this.options.freshness.hasReadStoreRecently) {
+      this.pollInBackground();
       return;
     }
-    this.askPeer(heard.instance).catch((failure: unknown) => {
-      this.options.logger.warn({ failure: failureText(failure) }, 'peer configuration not read');
+    this.readFromPeer(report.instance).catch((failure: unknown) => {
+      this.options.logger.warn(
+        { failure: failureText(failure) },
+        'configuration could not be read from the peer',
+      );
     });
   }
 
-  /** Reads what is newer than the version in force. */
+  /** Reads newer versions from the store; a call during a running poll adds another read to it. */
   public async poll(): Promise<void> {
-    this.options.contact.noteActivity();
-    this.pollRequests++;
+    this.options.freshness.recordActivity();
+    this.pollRequestCount++;
     if (this.isPolling) {
       return;
     }
     this.isPolling = true;
     try {
-      for (let served = 0; served < this.pollRequests;) {
-        served = this.pollRequests;
+      for (let servedRequestCount = 0; servedRequestCount < this.pollRequestCount;) {
+        servedRequestCount = this.pollRequestCount;
         await this.readStore();
       }
     } finally {
-      this.pollRequests = 0;
+      this.pollRequestCount = 0;
       this.isPolling = false;
     }
   }
 
-  private get request(): UpdateRequest {
-    return { after: this.rules.version, known: this.rules.judgedVersion };
+  private get updateRequest(): UpdateRequest {
+    return { after: this.rules.version, known: this.rules.evaluatedVersion };
   }
 
   private get isCaughtUp(): boolean {
-    return this.rules.judgedVersion >= this.newest;
+    return this.rules.evaluatedVersion >= this.newestKnown;
   }
 
-  private look(): void {
+  private pollInBackground(): void {
     this.poll().catch((failure: unknown) => {
-      this.options.logger.warn({ failure: failureText(failure) }, 'configuration not read');
+      this.options.logger.warn(
+        { failure: failureText(failure) },
+        'configuration could not be polled',
+      );
     });
   }
 
   private async readStore(): Promise<void> {
     const sentAt = this.options.timers.now();
-    const read = await this.options.store.read(this.request);
-    this.reportStore(read.err ? read.val.message : undefined);
+    const read = await this.options.store.read(this.updateRequest);
+    this.logStoreReadability(read.err ? read.val.message : undefined);
     if (read.err) {
       return;
     }
-    this.newest = Math.max(this.newest, read.val.newest);
-    this.take(read.val);
-    const isCurrent = this.rules.judgedVersion >= read.val.newest;
-    this.options.contact.sawStore(sentAt, isCurrent);
+    this.newestKnown = Math.max(this.newestKnown, read.val.newest);
+    this.applyUpdate(read.val);
+    const isCurrent = this.rules.evaluatedVersion >= read.val.newest;
+    this.options.freshness.recordStoreRead(sentAt, isCurrent);
     if (read.val.newest < this.rules.version) {
       const fields = { stored: read.val.newest, version: this.rules.version };
       this.options.logger.error(fields, 'the store has an older configuration');
     }
   }
 
-  private async askPeer(instance: InstanceId): Promise<void> {
+  private async readFromPeer(instance: InstanceId): Promise<void> {
     const source = this.options.peer(instance);
-    if (source === undefined || this.isAskingPeer) {
+    if (source === undefined || this.isReadingFromPeer) {
       return;
     }
-    this.isAskingPeer = true;
+    this.isReadingFromPeer = true;
     try {
-      const read = await source.read(this.request);
+      const read = await source.read(this.updateRequest);
       if (read.ok) {
-        this.newest = Math.max(this.newest, read.val.newest);
-        this.take(read.val);
+        this.newestKnown = Math.max(this.newestKnown, read.val.newest);
+        this.applyUpdate(read.val);
       }
     } finally {
-      this.isAskingPeer = false;
+      this.isReadingFromPeer = false;
     }
   }
 
-  private take(update: Update): void {
+  private applyUpdate(update: Update): void {
     const blockedBefore = this.rules.blocked?.version;
-    const difference = this.rules.take(update);
+    const difference = this.rules.applyUpdate(update);
     this.reportBlocked(blockedBefore);
     const { current } = this;
     if (difference === undefined || current === undefined) {
@@ -226,12 +234,12 @@
     this.options.metrics.gauge('configuration.version', current.version);
     this.options.logger.info({ version: current.version }, 'configuration in force');
     for (const listener of this.listeners) {
-      this.tell(listener, current, difference);
+      this.notifyListener(listener, current, difference);
     }
   }
 
-  /** Calls a listener; its failure does not keep the others from being told. */
-  private tell(
+  /** Calls a listener; its failure does not prevent the calls of the others. */
+  private notifyListener(
     listener: ConfigurationListener,
     configuration: Configuration,
     difference: ConfigurationDifference,
@@ -240,17 +248,17 @@
       listener(configuration, difference);
     } catch (failure) {
       const fields = { failure: failureText(failure), version: configuration.version };
-      this.options.logger.error(fields, 'a listener of the configuration failed');
+      this.options.logger.error(fields, 'a configuration listener failed');
     }
   }
 
-  /** Logs when the configuration in the store ceases to be readable, and when it is again. */
-  private reportStore(failure: string | undefined): void {
+  /** Logs when the configuration in the store becomes unreadable, and when it is readable again. */
+  private logStoreReadability(failure: string | undefined): void {
     if (failure !== undefined && this.isStoreReadable) {
-      this.options.logger.warn({ failure }, 'the configuration cannot be read from the store');
+      this.options.logger.warn({ failure }, 'configuration cannot be read from the store');
     }
     if (failure === undefined && !this.isStoreReadable) {
-      this.options.logger.info({}, 'the configuration can be read from the store again');
+      this.options.logger.info({}, 'configuration can be read from the store again');
     }
     this.isStoreReadable = failure === undefined;
   }
@@ -260,7 +268,7 @@
     this.options.metrics.gauge('configuration.blocked_version', blocked?.version ?? 0);
     if (blocked !== undefined && blocked.version !== blockedBefore) {
       const fields = { reason: blocked.reason, version: blocked.version };
-      this.options.logger.error(fields, 'an accepted configuration cannot be taken up');
+      this.options.logger.error(fields, 'an accepted configuration cannot be applied');
     }
   }
 }
--- a/packages/instance/src/configuration/configurationGossip.ts
+++ b/packages/instance/src/configuration/configurationGossip.ts
@@ -5,16 +5,16 @@
 import type { GossipParticipant } from '../peers/gossipParticipant.js';
 import type { ConfigurationFollower } from './configurationFollower.js';
 
-const toldSchema = z.object({
-  /** Version in force at the teller. */
+const gossipSchema = z.object({
+  /** Version in force at the sender. */
   version: z.number().int().nonnegative(),
-  /** Newest version that the teller knows to have been accepted. */
+  /** Newest version that the sender knows to have been accepted. */
   newest: z.number().int().nonnegative(),
-  /** Milliseconds since the teller itself read the store. */
+  /** Milliseconds since the sender itself read the store. */
   storeAge: z.number().nonnegative().optional(),
 });
 
-/** Tells peers which version of the configuration is in force, and hears of newer ones. */
+/** Gossips the version of the configuration that is in force, and the newest one known. */
 export class ConfigurationGossip implements GossipParticipant {
   public readonly key = 'configuration';
 
@@ -28,13 +28,13 @@
   }
 
   public hear(instance: InstanceId, value: string): void {
-    const told = toldSchema.safeParse(parseJson(value));
-    if (told.success) {
-      this.follower.hear({
+    const parsed = gossipSchema.safeParse(parseJson(value));
+    if (parsed.success) {
+      this.follower.recordPeerReport({
         instance,
-        newestVersion: told.data.newest,
-        storeAgeMilliseconds: told.data.storeAge,
-        version: told.data.version,
+        newestVersion: parsed.data.newest,
+        storeAgeMilliseconds: parsed.data.storeAge,
+        version: parsed.data.version,
       });
     }
   }
--- a/packages/instance/src/configuration/configurationSource.ts
+++ b/packages/instance/src/configuration/configurationSource.ts
@@ -1,13 +1,13 @@
 import type { Result } from '@zincring/core';
 import type { Update, UpdateRequest } from '@zincring/coordination';
 
-/** Why a source gave nothing. */
+/** Reason why a source could not be read. */
 export interface SourceFailure {
   readonly message: string;
 }
 
-/** Where newer versions of the configuration come from: the store, or a peer. */
+/** Source of newer versions of the configuration: the store or a peer. */
 export interface ConfigurationSource {
-  /** Reads what brings a reader up to date; an update without changes when nothing is newer. */
+  /** Reads the update that brings a reader up to date; it has no changes when nothing is newer. */
   read(request: UpdateRequest): Promise<Result<Update, SourceFailure>>;
 }
--- a/packages/instance/src/configuration/followConfiguration.ts
+++ b/packages/instance/src/configuration/followConfiguration.ts
@@ -7,13 +7,13 @@
 import type { Settings } from '../lifecycle/settings.js';
 import type { ConfigurationSource } from './configurationSource.js';
 
-import { ConfigurationContact } from './configurationContact.js';
+import { ConfigurationFreshness } from './configurationFreshness.js';
 import { ConfigurationFollower } from './configurationFollower.js';
 import { PeerConfigurationSource } from './peerConfigurationSource.js';
 import { StoreConfigurationSource } from './storeConfigurationSource.js';
 
-/** What following the configuration is made of. */
-export interface FollowConfigurationOptions {
+/** Dependencies of the configuration follower of an instance. */
+export interface CreateConfigurationFollowerOptions {
   readonly settings: Settings;
   readonly platform: Platform;
   readonly timers: TimerService;
@@ -22,17 +22,19 @@
   readonly membership: Membership;
 }
 
-/** Makes the follower of an instance; it is not started yet. */
-export function followConfiguration(options: FollowConfigurationOptions): ConfigurationFollower {
+/** Creates the configuration follower of an instance without starting it. */
+export function followConfiguration(
+  options: CreateConfigurationFollowerOptions,
+): ConfigurationFollower {
   const { logger, membership, metrics, platform, settings, timers } = options;
   const peer = (instance: InstanceId): ConfigurationSource | undefined => {
     const known = membership.known.find(({ id }) => id === instance);
     return known === undefined ? undefined : new PeerConfigurationSource(known.address);
   };
   return new ConfigurationFollower({
-    contact: new ConfigurationContact({
+    freshness: new ConfigurationFreshness({
       contactMilliseconds: settings.configurationContactMilliseconds,
-      others: () => membership.known.map(({ id }) => id),
+      listOtherInstances: () => membership.known.map(({ id }) => id),
       timers,
     }),
     logger,
--- a/packages/instance/src/configuration/keyWatch.ts
+++ b/packages/instance/src/configuration/keyWatch.ts
@@ -4,18 +4,18 @@
 
 import type { ConfigurationFollower } from './configurationFollower.js';
 
-/** Called once, when the key was withdrawn. */
+/** Called once, when the key has been withdrawn. */
 export type WithdrawalListener = () => void;
 
-/** What watching keys needs. */
+/** Options of {@link KeyWatch}. */
 export interface KeyWatchOptions {
   readonly follower: Pick<ConfigurationFollower, 'current' | 'subscribe'>;
-  /** Most listeners at a time. */
+  /** Maximum number of listeners at a time. */
   readonly maximumListeners: number;
 }
 
 /**
- * Tells calls that wait or stream when the key under which they came is withdrawn.
+ * Notifies waiting and streaming calls when the key that authenticated them is withdrawn.
  *
  * @example
  * const watch = keyWatch.onWithdrawn(caller.keyHash, () => controller.abort());
@@ -27,7 +27,7 @@
 
   public constructor(private readonly options: KeyWatchOptions) {
     options.follower.subscribe((_, { withdrawnKeys }) => {
-      this.tellAll(withdrawnKeys);
+      this.notifyListeners(withdrawnKeys);
     });
   }
 
@@ -36,15 +36,15 @@
     return this.count;
   }
 
-  /** Whether a key holds in the configuration in force. */
+  /** Whether a key is valid in the configuration in force. */
   public isValid(keyHash: KeyHash): boolean {
     return this.options.follower.current?.keys.has(keyHash) === true;
   }
 
   /**
-   * Calls a listener once when the key is withdrawn; at once when it is not valid any more.
-   * Stop the subscription when the call ends. Throws the kind `too-many-connections` when too
-   * many listen.
+   * Calls a listener once when the key is withdrawn, or immediately when it is no longer valid.
+   * Stop the subscription when the call ends. Throws the kind `too-many-connections` when the
+   * maximum number of listeners is reached.
    */
   public onWithdrawn(keyHash: KeyHash, listener: WithdrawalListener): TimerSubscription {
     if (!this.isValid(keyHash)) {
@@ -54,22 +54,22 @@
     if (this.count >= this.options.maximumListeners) {
       throw new ZincringError('too-many-connections');
     }
-    // A wrapper, so that one listener may be given twice.
-    const entry = (): void => {
+    // A separate function for each subscription, so that a listener may be subscribed twice.
+    const uniqueListener = (): void => {
       listener();
     };
     const listeners = this.listeners.get(keyHash) ?? new Set();
-    this.listeners.set(keyHash, listeners.add(entry));
+    this.listeners.set(keyHash, listeners.add(uniqueListener));
     this.count++;
     return {
       stop: () => {
-        this.remove(keyHash, entry);
+        this.remove(keyHash, uniqueListener);
       },
     };
   }
 
-  /** Tells every listener, although some may fail. */
-  private tellAll(keyHashes: readonly KeyHash[]): void {
+  /** Calls every listener of the keys, even when some of them throw. */
+  private notifyListeners(keyHashes: readonly KeyHash[]): void {
     const failures: unknown[] = [];
     for (const keyHash of keyHashes) {
       for (const listener of [...(this.listeners.get(keyHash) ?? [])]) {
--- a/packages/instance/src/configuration/peerConfigurationSource.ts
+++ b/packages/instance/src/configuration/peerConfigurationSource.ts
@@ -9,10 +9,10 @@
 
 import type { ConfigurationSource, SourceFailure } from './configurationSource.js';
 
-/** Longest wait for a peer's answer, in milliseconds. */
+/** Timeout of a read from a peer, in milliseconds. */
 const READ_TIMEOUT_MILLISECONDS = 2_000;
 
-/** The configuration that a peer has, for an instance that cannot reach the store. */
+/** Reads the configuration from a peer, for an instance that cannot reach the store. */
 export class PeerConfigurationSource implements ConfigurationSource {
   public constructor(private readonly address: string) {}
 
--- a/packages/instance/src/configuration/rulesInForce.ts
+++ b/packages/instance/src/configuration/rulesInForce.ts
@@ -6,75 +6,77 @@
 
 import { ChangeHistory } from './changeHistory.js';
 
-/** A version that this instance cannot take up, such as one with a setting that it does not know. */
+/** A version that this instance cannot apply, such as one with a setting that it does not know. */
 export interface BlockedVersion {
   readonly version: number;
-  /** The first errors, for a person. */
+  /** The first errors as human-readable text. */
   readonly reason: string;
 }
 
-/** What changed when newer rules came into force. */
+/** Difference between newer rules and those that they replaced. */
 export interface ConfigurationDifference {
   /** Version that was in force before; `undefined` for the first. */
   readonly previousVersion: ConfigurationVersion | undefined;
-  /** Keys that no longer hold. */
+  /** Keys that are no longer valid. */
   readonly withdrawnKeys: readonly KeyHash[];
 }
 
-const MOST_ERRORS_TOLD = 3;
-/** Finds key hashes also in lines that this instance cannot parse. */
+const MAXIMUM_REPORTED_ERRORS = 3;
+/** Matches key hashes, also in lines that this instance cannot parse. */
 const KEY_HASH_PATTERN = /\b[0-9a-f]{64}\b/g;
 
 /**
- * The rules in force. Versions only grow. A version that cannot be taken up leaves the last good
- * one in force, except that keys which it withdraws cease to hold; later versions are tried
- * together with it, so that a further change can mend it.
+ * Holds the rules in force, whose version never decreases. When a version cannot be applied, the
+ * last valid one stays in force, except that the keys that the newer version withdraws become
+ * invalid. Later versions are applied together with it, so that a further change can correct it.
  */
 export class RulesInForce {
   private rules = new RuleSet();
   private readonly history = new ChangeHistory();
-  private inForce: Configuration | undefined;
+  private configurationInForce: Configuration | undefined;
   private blockedVersion: BlockedVersion | undefined;
-  private judged = 0;
+  private highestEvaluated = 0;
 
-  /** The configuration in force; `undefined` before the first update. */
+  /** Configuration in force; `undefined` before the first update. */
   public get configuration(): Configuration | undefined {
-    return this.inForce;
+    return this.configurationInForce;
   }
 
   /** Version of the rules in force; 0 before the first. */
   public get version(): number {
-    return this.inForce?.version ?? 0;
+    return this.configurationInForce?.version ?? 0;
   }
 
-  /** The newest version that was read, whether it could be taken up or not. */
-  public get judgedVersion(): number {
-    return this.judged;
+  /** Newest version that was evaluated, whether it could be applied or not. */
+  public get evaluatedVersion(): number {
+    return this.highestEvaluated;
   }
 
-  /** The version that could not be taken up. */
+  /** Version that could not be applied; `undefined` when there is none. */
   public get blocked(): BlockedVersion | undefined {
     return this.blockedVersion;
   }
 
   /**
-   * Takes up an update as far as possible.
+   * Applies an update as far as possible.
    *
-   * @returns what changed; `undefined` when nothing did
+   * @returns the difference; `undefined` when nothing changed
    */
-  public take(update: Update): ConfigurationDifference | undefined {
-    const before = this.inForce;
+  public applyUpdate(update: Update): ConfigurationDifference | undefined {
+    const previous = this.configurationInForce;
     if (update.snapshot !== undefined && update.snapshot.version > this.version) {
-      this.takeSnapshot(update.snapshot);
+      this.applySnapshot(update.snapshot);
     }
-    this.takeChanges(update.changes);
-    if (this.inForce === undefined && this.blockedVersion === undefined) {
-      this.putInForce(0);
+    this.applyChanges(update.changes);
+    if (this.configurationInForce === undefined && this.blockedVersion === undefined) {
+      this.activate(0);
     }
-    return this.inForce === before ? undefined : describeDifference(before, this.inForce);
+    return this.configurationInForce === previous
+      ? undefined
+      : describeDifference(previous, this.configurationInForce);
   }
 
-  /** What brings a reader of a version up to what this instance has. */
+  /** Returns the update that brings a reader of a version up to the one in force here. */
   public updateAfter(after: number, newest: number): Update {
     if (after >= this.version) {
       return { changes: [], newest, snapshot: undefined };
@@ -85,66 +87,67 @@
     }));
   }
 
-  private takeSnapshot({ lines, version }: Snapshot): void {
+  private applySnapshot({ lines, version }: Snapshot): void {
     const rules = new RuleSet();
     const applied = rules.apply({ added: lines, removed: [] });
-    this.judged = Math.max(this.judged, version);
+    this.highestEvaluated = Math.max(this.highestEvaluated, version);
     if (applied.err) {
       this.block(version, applied.val, diffRuleLines(this.rules.lines, lines));
       return;
     }
     this.rules = rules;
     this.history.clear();
-    this.putInForce(version);
+    this.activate(version);
   }
 
-  private takeChanges(changes: readonly Change[]): void {
+  private applyChanges(changes: readonly Change[]): void {
     const newer = changes.filter(change => change.version > this.version);
-    const last = newer.at(-1);
-    if (last === undefined || newer[0]?.version !== this.version + 1) {
+    const newest = newer.at(-1);
+    if (newest === undefined || newer[0]?.version !== this.version + 1) {
       return;
     }
-    const isNews = last.version > this.judged || this.inForce === undefined;
-    this.judged = Math.max(this.judged, last.version);
-    if (isNews && !this.takeTogether(newer)) {
-      this.takeSingly(newer);
+    const needsEvaluation =
+      newest.version > this.highestEvaluated || this.configurationInForce === undefined;
+    this.highestEvaluated = Math.max(this.highestEvaluated, newest.version);
+    if (needsEvaluation && !this.applyMerged(newer)) {
+      this.applyOneByOne(newer);
     }
   }
 
-  private takeTogether(changes: readonly Change[]): boolean {
+  private applyMerged(changes: readonly Change[]): boolean {
     const applied = this.rules.apply(mergeChanges(changes));
     if (applied.err) {
       return false;
     }
-    this.putInForce(changes.at(-1)?.version ?? this.version);
+    this.activate(changes.at(-1)?.version ?? this.version);
     changes.forEach(change => {
       this.history.add(change);
     });
     return true;
   }
 
-  private takeSingly(changes: readonly Change[]): void {
+  private applyOneByOne(changes: readonly Change[]): void {
     for (const [position, change] of changes.entries()) {
       const applied = this.rules.apply(change);
       if (applied.err) {
         this.block(change.version, applied.val, mergeChanges(changes.slice(position)));
         return;
       }
-      this.putInForce(change.version);
+      this.activate(change.version);
       this.history.add(change);
     }
   }
 
-  private putInForce(version: number): void {
-    this.inForce = this.rules.buildConfiguration(version as ConfigurationVersion);
+  private activate(version: number): void {
+    this.configurationInForce = this.rules.buildConfiguration(version as ConfigurationVersion);
     this.blockedVersion = undefined;
   }
 
   private block(version: number, errors: readonly RuleError[], difference: RuleDifference): void {
-    const reason = errors.slice(0, MOST_ERRORS_TOLD).map(formatRuleError).join('; ');
+    const reason = errors.slice(0, MAXIMUM_REPORTED_ERRORS).map(formatRuleError).join('; ');
     this.blockedVersion = { reason, version };
-    if (this.inForce !== undefined) {
-      this.inForce = this.withoutWithdrawnKeys(this.inForce, difference);
+    if (this.configurationInForce !== undefined) {
+      this.configurationInForce = this.withoutWithdrawnKeys(this.configurationInForce, difference);
     }
   }
 
@@ -153,10 +156,12 @@
     difference: RuleDifference,
   ): Configuration {
     const keys = new Map(configuration.keys);
-    const kept = new Set(difference.added.flatMap(line => line.match(KEY_HASH_PATTERN) ?? []));
+    const retainedHashes = new Set(
+      difference.added.flatMap(line => line.match(KEY_HASH_PATTERN) ?? []),
+    );
     for (const line of difference.removed) {
       const rule = this.rules.find(line);
-      if (rule?.kind === 'key' && !kept.has(rule.hash)) {
+      if (rule?.kind === 'key' && !retainedHashes.has(rule.hash)) {
         keys.delete(rule.hash);
       }
     }
@@ -164,7 +169,7 @@
   }
 }
 
-/** The difference that changes make together. */
+/** Combines changes into a single difference. */
 function mergeChanges(changes: readonly Change[]): RuleDifference {
   const added = new Set<string>();
   const removed = new Set<string>();
@@ -184,12 +189,12 @@
 }
 
 function describeDifference(
-  before: Configuration | undefined,
-  after: Configuration | undefined,
+  previous: Configuration | undefined,
+  current: Configuration | undefined,
 ): ConfigurationDifference {
-  const isSame = before === undefined || before.keys === after?.keys;
-  const withdrawnKeys = isSame
+  const areKeysUnchanged = previous === undefined || previous.keys === current?.keys;
+  const withdrawnKeys = areKeysUnchanged
     ? []
-    : [...before.keys.keys()].filter(hash => after?.keys.has(hash) !== true);
-  return { previousVersion: before?.version, withdrawnKeys };
+    : [...previous.keys.keys()].filter(hash => current?.keys.has(hash) !== true);
+  return { previousVersion: previous?.version, withdrawnKeys };
 }
--- a/packages/instance/src/configuration/storeConfigurationSource.ts
+++ b/packages/instance/src/configuration/storeConfigurationSource.ts
@@ -3,7 +3,7 @@
 
 import type { ConfigurationSource, SourceFailure } from './configurationSource.js';
 
-/** The configuration that the platform's store has. */
+/** Reads the configuration from the platform's store. */
 export class StoreConfigurationSource implements ConfigurationSource {
   public constructor(private readonly changes: VersionedChanges) {}
 
--- a/packages/instance/tests/configuration/configurationFollower.test.ts
+++ b/packages/instance/tests/configuration/configurationFollower.test.ts
@@ -8,19 +8,19 @@
 
 const SEED = 140_000;
 const INSTANCES = 13;
-/** Fewer than half of the instances. */
+/** Number of instances in a minority. */
 const MINORITY = 6;
-/** Within how long a change must be in force, or an instance stops serving, in milliseconds. */
+/** Time within which a change is in force or the instance stops serving, in milliseconds. */
 const IN_FORCE_MILLISECONDS = 5_000;
 const STEP_MILLISECONDS = 250;
 const HEALING_MILLISECONDS = 15_000;
 
 const workspace = 'workspace w rate=1 burst=1 # a: b';
-const keyOf = (digit: string): string => `key k workspace=w hash=${digit.repeat(64)} # a: b`;
+const keyLine = (digit: string): string => `key k workspace=w hash=${digit.repeat(64)} # a: b`;
 
 async function startFleet(): Promise<FleetModel> {
   const fleet = new FleetModel(INSTANCES);
-  expect(await fleet.accept('start', [workspace, keyOf('1')])).toBe(1);
+  expect(await fleet.accept('start', [workspace, keyLine('1')])).toBe(1);
   await fleet.timers.advance(IN_FORCE_MILLISECONDS);
   expect(versionsOf(fleet)).toEqual([1]);
   expect(fleet.instances.every(({ follower }) => follower.isReady)).toBe(true);
@@ -31,49 +31,49 @@
   return [...new Set(fleet.instances.map(({ follower }) => follower.version))];
 }
 
-function cutFromStore(instances: readonly ModelInstance[], outage: 'hang' | 'refuse'): void {
+function disconnectFromStore(instances: readonly ModelInstance[], outage: 'hang' | 'refuse'): void {
   instances.forEach(({ faults }) => {
     faults.set({ outage });
   });
 }
 
 describe('ConfigurationFollower', () => {
-  it('has a change in force on all of 13 instances within 5 s, and tells of the key that went', async () => {
+  it('applies a change on all 13 instances within 5 s, and reports the withdrawn key', async () => {
     const fleet = await startFleet();
     const withdrawn: string[] = [];
     fleet.instances.forEach(({ follower }) => {
       follower.subscribe((_, difference) => withdrawn.push(...difference.withdrawnKeys));
     });
-    expect(await fleet.accept('withdraw', [], [keyOf('1')])).toBe(2);
+    expect(await fleet.accept('withdraw', [], [keyLine('1')])).toBe(2);
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
     expect(versionsOf(fleet)).toEqual([2]);
     expect(withdrawn).toEqual(Array.from({ length: INSTANCES }, () => '1'.repeat(64)));
   });
 
   it.each(['hang', 'refuse'] as const)(
-    'gets a change through peers where the way to the store is cut (%s)',
+    'reads a change from peers when the store is unreachable (%s)',
     async outage => {
       const fleet = await startFleet();
-      cutFromStore(fleet.instances.slice(1), outage);
-      expect(await fleet.accept('withdraw', [], [keyOf('1')])).toBe(2);
+      disconnectFromStore(fleet.instances.slice(1), outage);
+      expect(await fleet.accept('withdraw', [], [keyLine('1')])).toBe(2);
       await fleet.timers.advance(IN_FORCE_MILLISECONDS);
       expect(versionsOf(fleet)).toEqual([2]);
       expect(fleet.instances.every(({ follower }) => follower.isReady)).toBe(true);
     },
   );
 
-  it('looks at once when a peer tells of a newer version', async () => {
+  it('reads a newer version as soon as a peer reports it', async () => {
     const fleet = new FleetModel(2);
     await fleet.accept('start', [workspace]);
     await fleet.timers.advance(2_000);
-    await fleet.accept('next', [keyOf('1')]);
+    await fleet.accept('next', [keyLine('1')]);
     await fleet.instances[0]!.follower.poll();
     fleet.instances[0]!.exchange(fleet.instances[1]!);
     await fleet.timers.settle();
     expect(versionsOf(fleet)).toEqual([2]);
   });
 
-  it('passes over gossip that it does not understand', async () => {
+  it('ignores malformed gossip', async () => {
     const fleet = await startFleet();
     const { follower, id } = fleet.instances[0]!;
     const gossip = new ConfigurationGossip(follower);
@@ -83,46 +83,46 @@
     expect([follower.newestVersion, follower.isReady]).toEqual([1, true]);
   });
 
-  it('tells every listener although one fails', async () => {
+  it('calls every listener when one throws', async () => {
     const fleet = await startFleet();
     const { follower } = fleet.instances[0]!;
-    const told: number[] = [];
+    const notified: number[] = [];
     follower.subscribe(() => {
       throw new Error('broken');
     });
-    follower.subscribe(({ version }) => told.push(version));
+    follower.subscribe(({ version }) => notified.push(version));
     await fleet.accept('next', ['service s # a: b']);
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
-    expect(told).toEqual([2]);
+    expect(notified).toEqual([2]);
   });
 
-  it('stops an instance that sees neither the store nor a peer that does, and only that', async () => {
+  it('stops only an instance that can reach neither the store nor its peers', async () => {
     const fleet = await startFleet();
-    const [lonely, ...others] = fleet.instances;
-    cutFromStore([lonely!], 'hang');
-    lonely!.group = 1;
+    const [isolated, ...others] = fleet.instances;
+    disconnectFromStore([isolated!], 'hang');
+    isolated!.group = 1;
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
-    expect(lonely!.follower.isReady).toBe(false);
-    expect(lonely!.follower.usable).toBeUndefined();
+    expect(isolated!.follower.isReady).toBe(false);
+    expect(isolated!.follower.usable).toBeUndefined();
     expect(others.every(({ follower }) => follower.isReady)).toBe(true);
-    lonely!.group = 0;
+    isolated!.group = 0;
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
-    expect(lonely!.follower.isReady).toBe(true);
+    expect(isolated!.follower.isReady).toBe(true);
   });
 
-  it('stops an instance that hears of a newer version and cannot get it', async () => {
+  it('stops an instance that knows of a newer version but cannot read it', async () => {
     const fleet = await startFleet();
-    const [late] = fleet.instances;
-    late!.canAskPeers = false;
-    cutFromStore([late!], 'refuse');
-    await fleet.accept('next', [], [keyOf('1')]);
+    const [lagging] = fleet.instances;
+    lagging!.canAskPeers = false;
+    disconnectFromStore([lagging!], 'refuse');
+    await fleet.accept('next', [], [keyLine('1')]);
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
-    expect([late!.follower.isReady, late!.follower.version]).toEqual([false, 1]);
+    expect([lagging!.follower.isReady, lagging!.follower.version]).toEqual([false, 1]);
   });
 
-  it('goes on through an outage of the store for all, restarts included', async () => {
+  it('stays ready while the store is unavailable to all instances, also after a restart', async () => {
     const fleet = await startFleet();
-    cutFromStore(fleet.instances, 'hang');
+    disconnectFromStore(fleet.instances, 'hang');
     for (let minute = 0; minute < 15; minute++) {
       await fleet.timers.advance(60_000);
       expect(fleet.instances.every(({ follower }) => follower.isReady)).toBe(true);
@@ -134,30 +134,30 @@
     expect([restarted.follower.isReady, restarted.follower.version]).toEqual([true, 1]);
   });
 
-  it('is not ready after a start before it has what a peer knows', async () => {
+  it('is not ready after a start until it has the newest version that a peer knows', async () => {
     const fleet = await startFleet();
-    await fleet.accept('next', [], [keyOf('1')]);
+    await fleet.accept('next', [], [keyLine('1')]);
     await fleet.instances[0]!.follower.poll();
-    cutFromStore(fleet.instances, 'refuse');
-    const late = fleet.instances[5]!;
-    late.restart();
-    expect(late.follower.isReady).toBe(false);
+    disconnectFromStore(fleet.instances, 'refuse');
+    const lagging = fleet.instances[5]!;
+    lagging.restart();
+    expect(lagging.follower.isReady).toBe(false);
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
-    expect([late.follower.isReady, late.follower.version]).toEqual([true, 2]);
+    expect([lagging.follower.isReady, lagging.follower.version]).toEqual([true, 2]);
   });
 
-  it('does not believe what peers sent before a pause of its own process', async () => {
+  it('ignores reports that peers sent before a pause of its own process', async () => {
     const fleet = await startFleet();
-    const [frozen, peer] = fleet.instances;
-    cutFromStore([frozen!], 'hang');
+    const [paused, peer] = fleet.instances;
+    disconnectFromStore([paused!], 'hang');
     fleet.timers.skip(60_000);
-    frozen!.follower.hear({
+    paused!.follower.recordPeerReport({
       instance: peer!.id,
       newestVersion: 1,
       storeAgeMilliseconds: 0,
       version: 1,
     });
-    expect(frozen!.follower.isReady).toBe(false);
+    expect(paused!.follower.isReady).toBe(false);
   });
 });
 
@@ -165,7 +165,7 @@
   readonly kind:
     'accept' | 'crash' | 'cut' | 'heal' | 'isolate' | 'lose' | 'outage' | 'partition' | 'restart';
   readonly instance: number;
-  readonly steps: number;
+  readonly stepCount: number;
 }
 
 const fault: fc.Arbitrary<Fault> = fc.record({
@@ -183,21 +183,21 @@
     'partition',
     'restart',
   ),
-  steps: fc.nat(24),
+  stepCount: fc.nat(24),
 });
 
-/** Drives a fleet through faults and watches what must always hold. */
-class Watch {
+/** Applies faults to a fleet and checks its invariants after each step. */
+class FleetScenario {
   private readonly acceptedAt: number[] = [0];
-  private readonly highest = new Map<ModelInstance['follower'], number>();
-  private isOutForAll = false;
-  private proposals = 0;
+  private readonly highestVersions = new Map<ModelInstance['follower'], number>();
+  private isStoreUnavailable = false;
+  private proposedChanges = 0;
 
   public constructor(private readonly fleet: FleetModel) {
     this.acceptedAt.push(fleet.timers.now());
   }
 
-  public async apply({ instance, kind, steps }: Fault): Promise<void> {
+  public async apply({ instance, kind, stepCount }: Fault): Promise<void> {
     const target = this.fleet.instances[instance]!;
     switch (kind) {
       case 'accept':
@@ -208,45 +208,45 @@
         break;
       case 'cut':
         if (this.fleet.instances.slice(0, MINORITY).includes(target)) {
-          cutFromStore([target], steps % 2 === 0 ? 'hang' : 'refuse');
+          disconnectFromStore([target], stepCount % 2 === 0 ? 'hang' : 'refuse');
         }
         break;
       case 'heal':
         this.heal();
         break;
       case 'isolate': {
-        const lonely = this.fleet.instances[instance % MINORITY]!;
-        cutFromStore([lonely], 'hang');
-        lonely.group = instance + 1;
+        const isolated = this.fleet.instances[instance % MINORITY]!;
+        disconnectFromStore([isolated], 'hang');
+        isolated.group = instance + 1;
         break;
       }
       case 'lose':
-        this.fleet.operatorFaults.set({ lostAnswers: steps % 3 });
+        this.fleet.operatorFaults.set({ lostAnswers: stepCount % 3 });
         break;
       case 'outage':
-        this.isOutForAll = true;
-        cutFromStore(this.fleet.instances, 'refuse');
+        this.isStoreUnavailable = true;
+        disconnectFromStore(this.fleet.instances, 'refuse');
         break;
       case 'partition':
-        target.group = (steps % 3) + 1;
+        target.group = (stepCount % 3) + 1;
         break;
       case 'restart':
         target.restart();
         break;
     }
-    await this.run(steps);
+    await this.run(stepCount);
   }
 
   public heal(): void {
-    this.isOutForAll = false;
+    this.isStoreUnavailable = false;
     this.fleet.instances.forEach(instance => {
       instance.faults.set({ outage: 'none' });
       instance.group = 0;
     });
   }
 
-  public async run(steps: number): Promise<void> {
-    for (let step = 0; step < steps; step++) {
+  public async run(stepCount: number): Promise<void> {
+    for (let step = 0; step < stepCount; step++) {
       await this.fleet.timers.advance(STEP_MILLISECONDS);
       this.check();
     }
@@ -257,12 +257,12 @@
   }
 
   private async accept(): Promise<void> {
-    if (this.isOutForAll) {
+    if (this.isStoreUnavailable) {
       return;
     }
-    this.proposals++;
-    const proposal = this.fleet.accept(`change-${this.proposals}`, [
-      `service s${this.proposals} # a: b`,
+    this.proposedChanges++;
+    const proposal = this.fleet.accept(`change-${this.proposedChanges}`, [
+      `service s${this.proposedChanges} # a: b`,
     ]);
     const [version] = await Promise.all([proposal, this.fleet.timers.advance(1_000)]);
     expect(version).toBe(this.newest + 1);
@@ -271,34 +271,34 @@
 
   private check(): void {
     const deadline = this.fleet.timers.now() - IN_FORCE_MILLISECONDS;
-    const due = this.acceptedAt.filter(at => at < deadline).length - 1;
+    const dueVersion = this.acceptedAt.filter(at => at < deadline).length - 1;
     for (const { follower, isRunning } of this.fleet.instances) {
-      expect(follower.version).toBeGreaterThanOrEqual(this.highest.get(follower) ?? 0);
-      this.highest.set(follower, follower.version);
+      expect(follower.version).toBeGreaterThanOrEqual(this.highestVersions.get(follower) ?? 0);
+      this.highestVersions.set(follower, follower.version);
       if (isRunning && follower.isReady) {
-        expect(follower.version).toBeGreaterThanOrEqual(due);
+        expect(follower.version).toBeGreaterThanOrEqual(dueVersion);
       }
     }
   }
 }
 
-describe('13 followers through any crashes, restarts, cuts, partitions and outages', () => {
-  it('never revert, never serve an old version for more than 5 s, and agree after healing', async () => {
+describe('13 followers under random crashes, restarts, disconnections, partitions and outages', () => {
+  it('never revert, never serve a version outdated by more than 5 s, and agree after recovery', async () => {
     await fc.assert(
       fc.asyncProperty(fc.array(fault, { maxLength: 14 }), async faults => {
         const fleet = await startFleet();
-        const watch = new Watch(fleet);
-        for (const each of faults) {
-          await watch.apply(each);
+        const scenario = new FleetScenario(fleet);
+        for (const appliedFault of faults) {
+          await scenario.apply(appliedFault);
         }
-        watch.heal();
+        scenario.heal();
         fleet.instances
           .filter(({ isRunning }) => !isRunning)
           .forEach(instance => {
             instance.restart();
           });
-        await watch.run(HEALING_MILLISECONDS / STEP_MILLISECONDS);
-        expect(versionsOf(fleet)).toEqual([watch.newest]);
+        await scenario.run(HEALING_MILLISECONDS / STEP_MILLISECONDS);
+        expect(versionsOf(fleet)).toEqual([scenario.newest]);
         expect(fleet.instances.every(({ follower }) => follower.isReady)).toBe(true);
       }),
       { endOnFailure: true, numRuns: 40, seed: SEED },
--- a/packages/instance/tests/configuration/fleetModel.ts
+++ b/packages/instance/tests/configuration/fleetModel.ts
@@ -15,7 +15,7 @@
   MemoryTableService,
 } from '@zincring/stand-ins';
 
-import { ConfigurationContact } from '../../src/configuration/configurationContact.js';
+import { ConfigurationFreshness } from '../../src/configuration/configurationFreshness.js';
 import { ConfigurationFollower } from '../../src/configuration/configurationFollower.js';
 import { ConfigurationGossip } from '../../src/configuration/configurationGossip.js';
 import { StoreConfigurationSource } from '../../src/configuration/storeConfigurationSource.js';
@@ -24,14 +24,14 @@
 export const POLL_MILLISECONDS = 1_000;
 export const CONTACT_MILLISECONDS = 4_000;
 
-/** One follower with its way to the store and to its peers. */
+/** One instance: its configuration follower with its connections to the store and to its peers. */
 export class ModelInstance {
   public readonly id: InstanceId;
   public readonly faults: FaultSwitch;
   public isRunning = true;
-  /** Whether it gets an answer when it asks a peer for the configuration. */
+  /** Whether its reads of the configuration from peers succeed. */
   public canAskPeers = true;
-  /** Instances in another group cannot be reached. */
+  /** Network partition; instances in different groups cannot reach each other. */
   public group = 0;
   public follower: ConfigurationFollower;
   private gossip: ConfigurationGossip;
@@ -47,7 +47,7 @@
     this.follower.start();
   }
 
-  /** Ends the follower and starts another, which knows nothing. */
+  /** Stops the follower and starts another one without any state. */
   public restart(): void {
     this.follower.stop();
     this.follower = this.createFollower();
@@ -56,37 +56,37 @@
     this.follower.start();
   }
 
-  /** Ends the follower until the next restart. */
+  /** Stops the follower until the next restart. */
   public crash(): void {
     this.follower.stop();
     this.isRunning = false;
   }
 
-  public reaches(other: ModelInstance): boolean {
+  public canReach(other: ModelInstance): boolean {
     return this.isRunning && other.isRunning && this.group === other.group;
   }
 
   /** Exchanges heartbeats with a peer. */
   public exchange(other: ModelInstance): void {
-    const told = this.gossip.tell();
+    const request = this.gossip.tell();
     const answer = other.gossip.tell();
-    other.gossip.hear(this.id, told);
+    other.gossip.hear(this.id, request);
     this.gossip.hear(other.id, answer);
   }
 
   private createFollower(): ConfigurationFollower {
     const { fleet } = this;
     return new ConfigurationFollower({
-      contact: new ConfigurationContact({
+      freshness: new ConfigurationFreshness({
         contactMilliseconds: CONTACT_MILLISECONDS,
-        others: () => fleet.instances.filter(each => each !== this).map(({ id }) => id),
+        listOtherInstances: () => fleet.instances.filter(each => each !== this).map(({ id }) => id),
         timers: fleet.timers,
       }),
       logger: silentLogger,
       metrics: discardingMetrics,
       peer: id => this.peerSource(id),
       pollMilliseconds: POLL_MILLISECONDS,
-      store: new StoreConfigurationSource(fleet.changesThrough(this.faults)),
+      store: new StoreConfigurationSource(fleet.createChanges(this.faults)),
       timers: fleet.timers,
     });
   }
@@ -95,34 +95,34 @@
     return {
       read: async ({ after }: UpdateRequest): Promise<Result<Update, SourceFailure>> => {
         const peer = this.fleet.instances.find(each => each.id === id);
-        const isReached = peer !== undefined && this.canAskPeers && this.reaches(peer);
+        const isReachable = peer !== undefined && this.canAskPeers && this.canReach(peer);
         return await Promise.resolve(
-          isReached ? Ok(peer.follower.updateAfter(after)) : Err({ message: 'not reached' }),
+          isReachable ? Ok(peer.follower.updateAfter(after)) : Err({ message: 'not reached' }),
         );
       },
     };
   }
 }
 
-/** Followers before one store, on manual time. */
+/** Simulates instances that follow one store, on manual time. */
 export class FleetModel {
   public readonly timers = new ManualTimerService();
   private readonly table = new MemoryTable();
   private readonly objects = new MemoryObjects();
   public readonly instances: ModelInstance[] = [];
   public readonly operatorFaults = new FaultSwitch(this.timers);
-  public readonly operator = this.changesThrough(this.operatorFaults);
+  public readonly operator = this.createChanges(this.operatorFaults);
 
   public constructor(count: number) {
     for (let index = 0; index < count; index++) {
       this.instances.push(new ModelInstance(this, index));
     }
     this.timers.every(HEARTBEAT_MILLISECONDS, () => {
-      this.beat();
+      this.exchangeHeartbeats();
     });
   }
 
-  public changesThrough(faults: FaultSwitch): VersionedChanges {
+  public createChanges(faults: FaultSwitch): VersionedChanges {
     return new VersionedChanges({
       name: 'configuration',
       objects: new MemoryObjectStore(this.objects, faults),
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Accepts one change; gives its version, or `undefined` when the store gave no answer. */
+  /** Accepts one change; returns its version, or `undefined` when the store did not confirm it. */
   public async accept(
     changeId: string,
     added: readonly string[],
@@ -146,10 +146,10 @@
     return outcome.ok && outcome.val.status === 'accepted' ? outcome.val.version : undefined;
   }
 
-  private beat(): void {
+  private exchangeHeartbeats(): void {
     for (const [index, instance] of this.instances.entries()) {
       for (const other of this.instances.slice(index + 1)) {
-        if (instance.reaches(other)) {
+        if (instance.canReach(other)) {
           instance.exchange(other);
         }
       }
--- a/packages/instance/tests/configuration/keyWatch.test.ts
+++ b/packages/instance/tests/configuration/keyWatch.test.ts
@@ -39,51 +39,51 @@
 }
 
 describe('KeyWatch', () => {
-  it('tells each listener of the withdrawn key once, and no other', () => {
+  it('calls only the listeners of the withdrawn key, each once', () => {
     const { watch, withdraw } = setUp();
-    const told: string[] = [];
-    const tell = (): unknown => told.push('first');
-    watch.onWithdrawn(first, tell);
-    watch.onWithdrawn(first, tell);
-    watch.onWithdrawn(second, () => told.push('second'));
-    const stopped = watch.onWithdrawn(first, () => told.push('stopped'));
+    const notified: string[] = [];
+    const notify = (): unknown => notified.push('first');
+    watch.onWithdrawn(first, notify);
+    watch.onWithdrawn(first, notify);
+    watch.onWithdrawn(second, () => notified.push('second'));
+    const stopped = watch.onWithdrawn(first, () => notified.push('stopped'));
     stopped.stop();
     stopped.stop();
     withdraw(first, configurationOf(second));
     withdraw(first, configurationOf(second));
-    expect(told).toEqual(['first', 'first']);
+    expect(notified).toEqual(['first', 'first']);
     expect([watch.isValid(first), watch.isValid(second)]).toEqual([false, true]);
     expect(watch.size).toBe(1);
   });
 
-  it('tells at once of a key that was withdrawn between its check and the subscription', () => {
+  it('calls a listener immediately when its key was withdrawn between its check and the subscription', () => {
     const { watch, withdraw } = setUp();
     withdraw(first, configurationOf(second));
-    let isTold = false;
-    watch.onWithdrawn(first, () => (isTold = true));
-    expect(isTold).toBe(true);
+    let isNotified = false;
+    watch.onWithdrawn(first, () => (isNotified = true));
+    expect(isNotified).toBe(true);
     expect(watch.size).toBe(0);
   });
 
-  it('tells the others although one fails', () => {
+  it('calls the other listeners when one throws', () => {
     const { watch, withdraw } = setUp();
-    let isTold = false;
+    let isNotified = false;
     watch.onWithdrawn(first, () => {
       throw new Error('broken');
     });
-    watch.onWithdrawn(first, () => (isTold = true));
+    watch.onWithdrawn(first, () => (isNotified = true));
     expect(() => {
       withdraw(first, configurationOf(second));
     }).toThrow('1 listeners failed');
-    expect([isTold, watch.size]).toEqual([true, 0]);
+    expect([isNotified, watch.size]).toEqual([true, 0]);
   });
 
-  it('holds no more listeners than its bound, and takes new ones after some have stopped', () => {
+  it('rejects listeners above the maximum, and accepts new ones after some have stopped', () => {
     const { watch } = setUp(2);
-    const one = watch.onWithdrawn(first, () => undefined);
+    const firstSubscription = watch.onWithdrawn(first, () => undefined);
     watch.onWithdrawn(second, () => undefined);
     expect(() => watch.onWithdrawn(first, () => undefined)).toThrow('too many connections');
-    one.stop();
+    firstSubscription.stop();
     watch.onWithdrawn(first, () => undefined);
     expect(watch.size).toBe(2);
   });
--- a/packages/instance/tests/configuration/rulesInForce.bench.ts
+++ b/packages/instance/tests/configuration/rulesInForce.bench.ts
@@ -7,7 +7,7 @@
 import { RulesInForce } from '../../src/configuration/rulesInForce.js';
 import { updateToMessage } from '../../src/operators/operatorConversions.js';
 
-/** One workspace for so many keys. */
+/** Number of keys in each workspace. */
 const KEYS_PER_WORKSPACE = 10;
 
 function keyLine(index: number): string {
@@ -42,28 +42,32 @@
     `${messageBytes.length} bytes from a peer\n`,
 );
 
-describe('taking up one change of one key', () => {
+describe('applying one change of one key', () => {
   for (const count of [150, 1_500, 15_000]) {
     const rules = new RulesInForce();
-    rules.take({ changes: [], newest: 1, snapshot: { lines: linesOf(count), version: 1 } });
+    rules.applyUpdate({ changes: [], newest: 1, snapshot: { lines: linesOf(count), version: 1 } });
     let version = 1;
     bench(`of ${count} keys`, () => {
       version++;
-      const isIn = version % 2 === 1;
-      const lines = isIn
+      const isAdded = version % 2 === 1;
+      const lines = isAdded
         ? { added: [keyLine(1)], removed: [] }
         : { added: [], removed: [keyLine(1)] };
-      rules.take({ changes: [changeOf(version, lines)], newest: version, snapshot: undefined });
+      rules.applyUpdate({
+        changes: [changeOf(version, lines)],
+        newest: version,
+        snapshot: undefined,
+      });
     });
   }
 });
 
-describe('reading a whole version', () => {
+describe('applying a snapshot', () => {
   for (const count of [150, 1_500, 15_000]) {
     const lines = linesOf(count);
     bench(`of ${count} keys`, () => {
       const rules = new RulesInForce();
-      rules.take({ changes: [], newest: 1, snapshot: { lines, version: 1 } });
+      rules.applyUpdate({ changes: [], newest: 1, snapshot: { lines, version: 1 } });
     });
   }
 });
