--- a/packages/instance/src/limits/admission.ts
+++ b/packages/instance/src/limits/admission.ts
@@ -1,12 +1,16 @@
 import type { Result, ZincringError } from '@zincring/core';
 import type { WorkspaceRule } from '@zincring/rules';
 
-/** Decides whether a workspace may run one more request. */
+/** Enforces the request rate of each workspace. */
 export interface Admission {
   /**
-   * Takes one token of the workspace, waits for one that comes in time, or refuses at once.
+   * Acquires one token of the workspace. Waits if a token is expected within the maximum wait, and
+   * refuses immediately if none is.
    *
-   * @param waitMilliseconds longest time to wait; by default that of the settings
+   * @param maximumWaitMilliseconds that of the settings by default
    */
-  admit(rule: WorkspaceRule, waitMilliseconds?: number): Promise<Result<void, ZincringError>>;
+  admit(
+    rule: WorkspaceRule,
+    maximumWaitMilliseconds?: number,
+  ): Promise<Result<void, ZincringError>>;
 }
--- a/packages/instance/src/limits/fleetAdmission.ts
+++ b/packages/instance/src/limits/fleetAdmission.ts
@@ -27,7 +27,7 @@
 
 import { PeerTokenBorrower } from './tokenBorrower.js';
 
-/** Settings of the limits; docs/operators/limits.md explains each. */
+/** Settings of the rate limits; docs/operators/limits.md explains each. */
 export interface LimitSettings {
   readonly seatCount: number;
   readonly seatLease: LeaseTerms;
@@ -36,11 +36,11 @@
   readonly maximumWaiting: number;
 }
 
-/** What limits across the fleet need. */
+/** Dependencies and settings of {@link FleetAdmission}. */
 export interface FleetAdmissionOptions {
   readonly settings: LimitSettings;
   readonly instance: InstanceId;
-  /** Peer address that this process has bound before {@link FleetAdmission.start}. */
+  /** Peer address; the process must bind it before it calls {@link FleetAdmission.start}. */
   readonly address: string;
   readonly table: TableService;
   readonly clients: PeerClients;
@@ -49,57 +49,57 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly createIncarnation: () => IncarnationId;
-  /** First number of a loan; differs between the processes of an instance. */
+  /** Number of the first loan; must differ between the processes of an instance. */
   readonly firstLoan: number;
 }
 
-const TICK_MILLISECONDS = 1_000;
-const LOOK_MILLISECONDS = 1_000;
+const TICK_INTERVAL_MILLISECONDS = 1_000;
+const SEAT_POLL_INTERVAL_MILLISECONDS = 1_000;
 const BORROW_TIMEOUT_MILLISECONDS = 300;
-/** Part by which a seat's pause after a change of holder exceeds the longest loan. */
-const SETTLE_FACTOR = 1.05;
+/** Ratio of the delay before a newly acquired seat counts to the longest term of a loan. */
+const ACTIVATION_DELAY_FACTOR = 1.05;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Admits requests within the rates and bursts that all instances share. */
+/** Admits requests within the rates and bursts of workspaces, which all instances share. */
 export class FleetAdmission implements Admission, TokenLender {
   private readonly seats: LimitSeats;
   private readonly limiter: EscrowedLimiter;
-  private ticks: TimerSubscription | undefined;
+  private tickSubscription: TimerSubscription | undefined;
 
   public constructor(private readonly options: FleetAdmissionOptions) {
     const { loan, seatCount, seatLease } = options.settings;
     this.seats = new LimitSeats({
       ...options,
       eligible: () => options.membership.eligible(),
-      pollMilliseconds: LOOK_MILLISECONDS,
+      pollMilliseconds: SEAT_POLL_INTERVAL_MILLISECONDS,
       seatCount,
-      activationDelayMilliseconds: loan.shareMilliseconds * SETTLE_FACTOR,
+      activationDelayMilliseconds: loan.shareMilliseconds * ACTIVATION_DELAY_FACTOR,
       terms: seatLease,
     });
     this.limiter = this.createLimiter();
   }
 
-  /** Begins to take seats; the process must have bound its peer address. */
+  /** Starts acquiring seats; the process must have bound its peer address. */
   public start(): void {
-    this.ticks = this.options.timers.every(TICK_MILLISECONDS, () => {
+    this.tickSubscription = this.options.timers.every(TICK_INTERVAL_MILLISECONDS, () => {
       this.tick();
     });
     this.tick();
   }
 
-  /** Puts the rates and bursts of a configuration in force. */
+  /** Applies the rates and bursts of a configuration. */
   public updateConfiguration(configuration: Configuration): void {
     this.limiter.configure(configuration.workspaces);
   }
 
-  /** Gives seats and loans up; requests are still admitted by tokens of other instances. */
+  /** Releases the seats and returns the loans; tokens of other instances still admit requests. */
   public async release(): Promise<void> {
-    this.ticks?.stop();
+    this.tickSubscription?.stop();
     this.limiter.returnLoans();
     await this.seats.stop();
   }
 
-  /** Ends every timer. */
+  /** Stops the limiter and its timers; waiting requests are refused. */
   public close(): void {
     this.limiter.stop();
   }
@@ -110,14 +110,14 @@
 
   public async admit(
     rule: WorkspaceRule,
-    waitMilliseconds: number = this.options.settings.maximumWaitMilliseconds,
+    maximumWaitMilliseconds: number = this.options.settings.maximumWaitMilliseconds,
   ): Promise<Result<void, ZincringError>> {
-    const admittance = await this.limiter.admit(rule.name, waitMilliseconds);
-    this.options.metrics.increment(`limits.${admittance.status}`, 1, { workspace: rule.name });
-    if (admittance.status === 'granted') {
+    const decision = await this.limiter.admit(rule.name, maximumWaitMilliseconds);
+    this.options.metrics.increment(`limits.${decision.status}`, 1, { workspace: rule.name });
+    if (decision.status === 'granted') {
       return Ok(undefined);
     }
-    const retryAfterSeconds = admittance.retryMilliseconds / MILLISECONDS_PER_SECOND;
+    const retryAfterSeconds = decision.retryMilliseconds / MILLISECONDS_PER_SECOND;
     return Err(new ZincringErrorClass('rate-limited', { retryAfterSeconds }));
   }
 
@@ -140,7 +140,7 @@
         const home = preferredHolder(shard, membership.eligible());
         return home === instance ? undefined : home;
       },
-      // An instance that leaves holds its seats until it hands over, so it lends as well.
+      // Includes instances that are stopping: they hold and lend their seats until the handover.
       lenders: () => membership.alive.map(({ id }) => id),
       loans: new PeerTokenBorrower({
         addressOf: id => membership.findAlive(id as InstanceId)?.address,
--- a/packages/instance/src/limits/loanConversions.ts
+++ b/packages/instance/src/limits/loanConversions.ts
@@ -22,7 +22,7 @@
   [LoanKindMessage.UNSPECIFIED]: 'tokens',
 };
 
-/** Converts a request for a loan for another instance. */
+/** Converts a loan request to be sent to another instance. */
 export function loanRequestToMessage(
   request: LoanRequest,
 ): MessageInitShape<typeof BorrowRequestSchema> {
@@ -38,7 +38,7 @@
   };
 }
 
-/** Converts a request for a loan of another instance. */
+/** Converts a loan request received from another instance. */
 export function loanRequestFromMessage(message: BorrowRequest): LoanRequest {
   return {
     borrower: message.borrower,
@@ -51,7 +51,7 @@
   };
 }
 
-/** Converts a loan for its borrower. */
+/** Converts a loan to be sent to its borrower. */
 export function loanToMessage(loan: Loan): MessageInitShape<typeof BorrowResponseSchema> {
   return {
     gathering: loan.isGathering,
@@ -63,7 +63,7 @@
   };
 }
 
-/** Converts a loan of another instance. */
+/** Converts a loan received from its lender. */
 export function loanFromMessage(message: BorrowResponse): Loan {
   return {
     isGathering: message.gathering,
--- a/packages/instance/src/limits/tokenBorrower.ts
+++ b/packages/instance/src/limits/tokenBorrower.ts
@@ -4,19 +4,19 @@
 
 import { loanFromMessage, loanRequestToMessage } from './loanConversions.js';
 
-/** Asks other instances for parts of workspaces' rates. */
+/** Borrows shares of workspaces' rates from other instances. */
 export type TokenBorrower = LoanClient;
 
-/** What asking over the network needs. */
+/** Options of a {@link PeerTokenBorrower}. */
 export interface PeerTokenBorrowerOptions {
   readonly clients: PeerClients;
-  /** Peer address of an instance; `undefined` when it is not known to be alive. */
+  /** Returns the peer address of an instance; `undefined` if it is not known to be alive. */
   readonly addressOf: (instance: string) => string | undefined;
-  /** Longest wait for an answer, in milliseconds. */
+  /** Timeout of a loan request, in milliseconds. */
   readonly timeoutMilliseconds: number;
 }
 
-/** Asks other instances by the RPC `Borrow`. */
+/** Borrows from other instances through the RPC `Borrow`. */
 export class PeerTokenBorrower implements TokenBorrower {
   public constructor(private readonly options: PeerTokenBorrowerOptions) {}
 
@@ -32,7 +32,7 @@
         .borrow(loanRequestToMessage(request), { timeoutMs: timeoutMilliseconds });
       return loanFromMessage(response);
     } catch {
-      // What was lent without an answer comes back to the lender when the loan ends.
+      // If the lender granted a loan but its response was lost, it regains the loan at expiry.
       return undefined;
     }
   }
--- a/packages/instance/src/limits/tokenLender.ts
+++ b/packages/instance/src/limits/tokenLender.ts
@@ -2,14 +2,15 @@
 
 import { noLoan } from '@zincring/coordination';
 
-/** Lends parts of workspaces' rates to other instances. */
+/** Lends shares of workspaces' rates to other instances. */
 export interface TokenLender {
   lend(request: LoanRequest): Loan;
 }
 
-const NEVER_MILLISECONDS = 60_000;
+/** Time after which a borrower that was refused may ask again. */
+const REFUSAL_RETRY_MILLISECONDS = 60_000;
 
-/** Lends nothing. */
-export const lendNothing: TokenLender = {
-  lend: () => noLoan(NEVER_MILLISECONDS),
+/** Refuses every loan request. */
+export const refusingTokenLender: TokenLender = {
+  lend: () => noLoan(REFUSAL_RETRY_MILLISECONDS),
 };
--- a/packages/instance/tests/limits/loanConversions.test.ts
+++ b/packages/instance/tests/limits/loanConversions.test.ts
@@ -13,8 +13,8 @@
 
 const kinds: readonly LoanKind[] = ['settle', 'share', 'tokens'];
 
-describe('loans on the wire', () => {
-  it.each(kinds)('keep a request of kind %s', kind => {
+describe('loan conversions', () => {
+  it.each(kinds)('preserve a request of kind %s', kind => {
     const request: LoanRequest = {
       borrower: 'entry-1.abc',
       kind,
@@ -28,7 +28,7 @@
     expect(loanRequestFromMessage(message)).toEqual(request);
   });
 
-  it('keep a loan, its time not rounded up', () => {
+  it('preserve a loan without rounding up its term', () => {
     const loan: Loan = {
       isGathering: true,
       loanId: 2 ** 47,
