--- a/packages/instance/src/upstreams/engineClient.ts
+++ b/packages/instance/src/upstreams/engineClient.ts
@@ -8,7 +8,7 @@
 import type { EnginePayload, UpstreamFrame, UpstreamWork } from './upstreamMessages.js';
 
 import { UpstreamFailure } from './upstreamFailure.js';
-import { openRequest, readLines } from './upstreamRequest.js';
+import { sendRequest, readLines } from './upstreamRequest.js';
 
 const lineSchema = z.union([
   z.object({ index: z.number(), text: z.string() }),
@@ -22,8 +22,8 @@
 ]);
 
 /**
- * Generates text at one engine: newline-delimited JSON, a line a token and a last line with the
- * usage.
+ * Streams a generation from one engine. The response is newline-delimited JSON: one line for each
+ * token and a last line with the token usage.
  */
 export async function* generateAtEngine(
   replica: Replica,
@@ -35,11 +35,11 @@
     maxTokens: payload.maxTokens,
     priority,
     program: work.program ?? '',
-    // Unique for each attempt: an engine may remember a request that it has cancelled.
+    // Unique for each attempt, since an engine may remember the id of a cancelled request.
     requestId: `${work.program ?? ''}/${work.call}/${randomUUID()}`,
     segments: payload.segments,
   });
-  const response = await openRequest({
+  const response = await sendRequest({
     address: replica.address,
     body,
     headers: { 'content-type': 'application/json' },
--- a/packages/instance/src/upstreams/engineOrders.ts
+++ b/packages/instance/src/upstreams/engineOrders.ts
@@ -5,26 +5,26 @@
 
 import type { Replica } from './replicaTable.js';
 
-import { openRequest, readAll } from './upstreamRequest.js';
+import { sendRequest, readText } from './upstreamRequest.js';
 
-/** An order to drop what an engine holds for a program. */
-export interface ReleaseOrder {
+/** Request to release the memory that an engine holds for a program. */
+export interface ReleaseRequest {
   readonly program: ProgramId;
-  /** Fencing number; engines that check it refuse an older one. */
+  /** Fencing token; engines that check it reject one older than the highest they have received. */
   readonly fence: Epoch;
 }
 
-/** How an order ended: `fenced` when a newer holder has given orders since. */
-export type OrderOutcome = 'done' | 'fenced';
+/** Outcome of a release: `fenced` if the engine has received a newer fencing token. */
+export type ReleaseOutcome = 'done' | 'fenced';
 
-/** What an engine says of its load, with a lag. */
+/** Load as an engine reports it, with a lag. */
 export interface EngineLoad {
   readonly running: number;
   readonly waiting: number;
   readonly cachedTokens: number;
 }
 
-/** A change of an engine's prefix cache. */
+/** Change of an engine's prefix cache. */
 export interface EngineCacheEvent {
   readonly sequence: number;
   readonly change: 'evicted' | 'stored';
@@ -32,24 +32,24 @@
   readonly tokens: number;
 }
 
-/** A page of cache events. */
+/** Page of cache events. */
 export interface EngineCacheEvents {
   readonly events: readonly EngineCacheEvent[];
-  /** Where to read on. */
+  /** Value of `after` that requests the next page. */
   readonly next: number;
 }
 
-/** Speaks to engines beside the generation itself. */
-export interface EngineOrders {
-  release(replica: Replica, order: ReleaseOrder): Promise<Result<OrderOutcome, Error>>;
-  /** Programs for which an engine holds memory. */
-  listHeld(replica: Replica): Promise<Result<readonly ProgramId[], Error>>;
+/** Client of the engines' control interface: memory, load and cache events. */
+export interface EngineControlClient {
+  release(replica: Replica, request: ReleaseRequest): Promise<Result<ReleaseOutcome, Error>>;
+  /** Lists the programs for which an engine holds memory. */
+  listHeldPrograms(replica: Replica): Promise<Result<readonly ProgramId[], Error>>;
   readLoad(replica: Replica): Promise<Result<EngineLoad, Error>>;
   readCacheEvents(replica: Replica, after: number): Promise<Result<EngineCacheEvents, Error>>;
 }
 
 const STATUS_CONFLICT = 409;
-const ORDER_TIMEOUT_MILLISECONDS = 2_000;
+const REQUEST_TIMEOUT_MILLISECONDS = 2_000;
 
 const heldSchema = z.object({ programs: z.record(z.string(), z.number()) });
 const loadSchema = z.object({
@@ -69,52 +69,52 @@
   next: z.number(),
 });
 
-/** Orders and reports over the plain HTTP interface of the engine stand-in. */
-export class HttpEngineOrders implements EngineOrders {
+/** Calls the HTTP interface of the engine stand-in. */
+export class HttpEngineOrders implements EngineControlClient {
   public async release(
     replica: Replica,
-    order: ReleaseOrder,
-  ): Promise<Result<OrderOutcome, Error>> {
+    request: ReleaseRequest,
+  ): Promise<Result<ReleaseOutcome, Error>> {
     try {
-      const answer = await exchange(replica, 'POST', '/v1/release', JSON.stringify(order));
-      if (answer.status === STATUS_CONFLICT) {
+      const response = await exchange(replica, 'POST', '/v1/release', JSON.stringify(request));
+      if (response.status === STATUS_CONFLICT) {
         return Ok('fenced');
       }
-      return answer.status === 200 ? Ok('done') : Err(new Error(`status ${answer.status}`));
+      return response.status === 200 ? Ok('done') : Err(new Error(`status ${response.status}`));
     } catch (failure) {
       return Err(failure instanceof Error ? failure : new Error(String(failure)));
     }
   }
 
-  public async listHeld(replica: Replica): Promise<Result<readonly ProgramId[], Error>> {
-    const held = await read(replica, '/v1/held', heldSchema);
-    return held.map(answer =>
-      Object.keys(answer.programs)
+  public async listHeldPrograms(replica: Replica): Promise<Result<readonly ProgramId[], Error>> {
+    const heldPrograms = await readJson(replica, '/v1/held', heldSchema);
+    return heldPrograms.map(response =>
+      Object.keys(response.programs)
         .filter(program => program !== '')
         .map(program => program as ProgramId),
     );
   }
 
   public async readLoad(replica: Replica): Promise<Result<EngineLoad, Error>> {
-    return await read(replica, '/v1/load', loadSchema);
+    return await readJson(replica, '/v1/load', loadSchema);
   }
 
   public async readCacheEvents(
     replica: Replica,
     after: number,
   ): Promise<Result<EngineCacheEvents, Error>> {
-    return await read(replica, `/v1/cache-events?after=${after}`, eventsSchema);
+    return await readJson(replica, `/v1/cache-events?after=${after}`, eventsSchema);
   }
 }
 
-async function read<Answer>(
+async function readJson<Content>(
   replica: Replica,
   path: string,
-  schema: z.ZodType<Answer>,
-): Promise<Result<Answer, Error>> {
+  schema: z.ZodType<Content>,
+): Promise<Result<Content, Error>> {
   try {
-    const answer = await exchange(replica, 'GET', path, '');
-    return Ok(schema.parse(JSON.parse(answer.body)));
+    const response = await exchange(replica, 'GET', path, '');
+    return Ok(schema.parse(JSON.parse(response.body)));
   } catch (failure) {
     return Err(failure instanceof Error ? failure : new Error(String(failure)));
   }
@@ -126,13 +126,13 @@
   path: string,
   body: string,
 ): Promise<{ readonly status: number; readonly body: string }> {
-  const response = await openRequest({
+  const response = await sendRequest({
     address: replica.address,
     body,
     headers: { 'content-type': 'application/json' },
     method,
     path,
-    signal: AbortSignal.timeout(ORDER_TIMEOUT_MILLISECONDS),
+    signal: AbortSignal.timeout(REQUEST_TIMEOUT_MILLISECONDS),
   });
-  return { body: await readAll(response), status: response.statusCode ?? 0 };
+  return { body: await readText(response), status: response.statusCode ?? 0 };
 }
--- a/packages/instance/src/upstreams/engineSweeper.ts
+++ b/packages/instance/src/upstreams/engineSweeper.ts
@@ -2,48 +2,48 @@
 
 import { failureText } from '@zincring/core';
 
-import type { EngineMemory } from './engineMemory.js';
-import type { EngineOrders } from './engineOrders.js';
+import type { EngineMemoryReleaser } from './engineMemoryReleaser.js';
+import type { EngineControlClient } from './engineOrders.js';
 import type { Replica, ReplicaTable } from './replicaTable.js';
 
-/** A program that is certainly gone, as the holder of its shard says. */
+/** Program that has ended or does not exist, as confirmed by the holder of its shard. */
 export interface GoneProgram {
   readonly program: ProgramId;
-  /** Epoch under which the holder says so. */
+  /** Epoch of the holder's lease of the shard; serves as fencing token. */
   readonly fence: Epoch;
 }
 
-/** Asks the homes of programs which of them are gone. */
+/** Finds out from the homes of programs which of them no longer exist. */
 export interface ProgramCensus {
-  /** Those of the programs that have ended or that their home does not know. */
+  /** Returns those of the programs that have ended or that their home does not know. */
   findGone(programs: readonly ProgramId[]): Promise<readonly GoneProgram[]>;
 }
 
-/** What the sweep needs. */
+/** Dependencies and settings of an {@link EngineSweeper}. */
 export interface EngineSweeperOptions {
-  readonly orders: EngineOrders;
+  readonly orders: EngineControlClient;
   readonly replicas: ReplicaTable;
-  readonly memory: EngineMemory;
-  readonly census: ProgramCensus;
+  readonly memoryReleaser: EngineMemoryReleaser;
+  readonly goneProgramFinder: ProgramCensus;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly intervalMilliseconds: number;
-  /** Whether this instance sweeps an engine; one instance does at a time. */
+  /** Whether this instance sweeps the engine; one instance does at a time. */
   readonly isResponsible: (replica: Replica) => boolean;
-  /** Whether replicas of the service are engines. */
+  /** Whether the replica belongs to an engine service. */
   readonly isEngine: (replica: Replica) => boolean;
 }
 
 /**
- * Compares what engines hold with the programs alive. It finds what release orders cannot: the
- * programs whose home died before it gave the order.
+ * Releases the memory that engines hold for programs that no longer exist, including those whose
+ * home crashed before it sent the release.
  */
 export class EngineSweeper {
   private subscription: TimerSubscription | undefined;
 
   public constructor(private readonly options: EngineSweeperOptions) {}
 
-  /** Begins to sweep. */
+  /** Starts sweeping periodically. */
   public start(): void {
     this.subscription = this.options.timers.every(this.options.intervalMilliseconds, () => {
       this.sweep().catch((failure: unknown) => {
@@ -59,22 +59,22 @@
 
   /** Sweeps every engine that this instance is responsible for. */
   public async sweep(): Promise<void> {
-    const { isEngine, isResponsible, memory, replicas } = this.options;
-    const engines = [...replicas.all()].filter(
+    const { isEngine, isResponsible, memoryReleaser, replicas } = this.options;
+    const engines = [...replicas.listAll()].filter(
       replica => isEngine(replica) && isResponsible(replica),
     );
     await Promise.all(engines.map(async replica => this.sweepEngine(replica)));
-    await memory.sendPending();
+    await memoryReleaser.sendPending();
   }
 
   private async sweepEngine(replica: Replica): Promise<void> {
-    const held = await this.options.orders.listHeld(replica);
-    if (held.err || held.val.length === 0) {
+    const heldPrograms = await this.options.orders.listHeldPrograms(replica);
+    if (heldPrograms.err || heldPrograms.val.length === 0) {
       return;
     }
-    const gone = await this.options.census.findGone(held.val);
-    for (const { fence, program } of gone) {
-      this.options.memory.enqueue({ engine: replica.id, fence, program });
+    const gonePrograms = await this.options.goneProgramFinder.findGone(heldPrograms.val);
+    for (const { fence, program } of gonePrograms) {
+      this.options.memoryReleaser.enqueue({ engine: replica.id, fence, program });
     }
   }
 }
--- a/packages/instance/src/upstreams/plainServiceClient.ts
+++ b/packages/instance/src/upstreams/plainServiceClient.ts
@@ -1,17 +1,17 @@
 import type { Replica } from './replicaTable.js';
 import type { PlainPayload, UpstreamFrame, UpstreamWork } from './upstreamMessages.js';
 
-import { openRequest } from './upstreamRequest.js';
+import { sendRequest } from './upstreamRequest.js';
 
 const noUsage = { cachedTokens: 0, outputTokens: 0, promptTokens: 0 };
 
-/** Sends a request to one replica of a plain service. */
+/** Sends a request to one replica of a plain service and streams the response. */
 export async function* requestPlainService(
   replica: Replica,
   work: UpstreamWork,
   payload: PlainPayload,
 ): AsyncGenerator<UpstreamFrame> {
-  const response = await openRequest({
+  const response = await sendRequest({
     address: replica.address,
     body: payload.body,
     headers: {
--- a/packages/instance/src/upstreams/poisonGuard.ts
+++ b/packages/instance/src/upstreams/poisonGuard.ts
@@ -8,22 +8,22 @@
 
 import type { GossipParticipant } from '../peers/gossipParticipant.js';
 
-/** What guarding against poison requests needs. */
+/** Dependencies of a {@link PoisonGuard}. */
 export interface PoisonGuardOptions {
   readonly timers: TimerService;
-  /** Tells the other instances at once; settles when they have answered. */
+  /** Sends this instance's gossip to the others immediately; settles once they have answered. */
   readonly spreadNews: () => Promise<void>;
 }
 
-/** Most deaths told in one heartbeat. */
-const DEATHS_PER_HEARTBEAT = 32;
-/** Longest wait for the other instances to hear of a death, in milliseconds. */
-const LONGEST_SPREAD_MILLISECONDS = 300;
+/** Maximum number of crashes reported in one heartbeat. */
+const MAXIMUM_CRASHES_PER_HEARTBEAT = 32;
+/** Maximum wait for the other instances to receive the report of a crash, in milliseconds. */
+const GOSSIP_TIMEOUT_MILLISECONDS = 300;
 
 /**
- * Refuses requests that have brought down upstreams, counted over all instances. The other
- * instances hear of a death before its request is answered or tried again, so that a resend
- * through any of them is counted.
+ * Refuses poison requests: those that crashed upstreams, counted over all instances. A crash is
+ * reported to the other instances before its request is answered or retried, so a resend through
+ * any of them is counted.
  */
 export class PoisonGuard implements GossipParticipant {
   public readonly key = 'upstream-deaths';
@@ -31,10 +31,10 @@
 
   public constructor(private readonly options: PoisonGuardOptions) {}
 
-  /** The refusal of a request that may not run; `undefined` when it may. */
-  public findRefusal(body: BodyDigest): ZincringError | undefined {
+  /** Returns the error for a request that is quarantined; `undefined` if it may run. */
+  public findRefusal(bodyDigest: BodyDigest): ZincringError | undefined {
     const now = this.options.timers.now();
-    const refusedUntil = this.quarantine.refusedUntil(body, now);
+    const refusedUntil = this.quarantine.refusedUntil(bodyDigest, now);
     return refusedUntil === undefined
       ? undefined
       : new ZincringError('poison-request', {
@@ -42,34 +42,34 @@
         });
   }
 
-  /** Counts an upstream that died while it ran a request, and tells the other instances. */
-  public async noteDeath(body: BodyDigest, upstream: UpstreamId): Promise<void> {
-    const death: UpstreamCrash = {
+  /** Records the crash of an upstream that ran a request, and reports it to the other instances. */
+  public async recordCrash(bodyDigest: BodyDigest, upstream: UpstreamId): Promise<void> {
+    const crash: UpstreamCrash = {
       ageMilliseconds: 0,
-      body,
+      body: bodyDigest,
       death: randomUUID() as string as CrashId,
       upstream,
     };
-    this.quarantine.recordCrash(death, this.options.timers.now());
-    const spread = this.options.spreadNews().catch(() => undefined);
-    const limit = new AbortController();
+    this.quarantine.recordCrash(crash, this.options.timers.now());
+    const published = this.options.spreadNews().catch(() => undefined);
+    const timeoutController = new AbortController();
     await Promise.race([
-      spread,
-      sleep(this.options.timers, LONGEST_SPREAD_MILLISECONDS, limit.signal),
+      published,
+      sleep(this.options.timers, GOSSIP_TIMEOUT_MILLISECONDS, timeoutController.signal),
     ]);
-    limit.abort();
+    timeoutController.abort();
   }
 
   public tell(): string | undefined {
     const now = this.options.timers.now();
-    const deaths = this.quarantine.listRecentCrashes(now, DEATHS_PER_HEARTBEAT);
-    return deaths.length === 0 ? undefined : JSON.stringify(deaths);
+    const crashes = this.quarantine.listRecentCrashes(now, MAXIMUM_CRASHES_PER_HEARTBEAT);
+    return crashes.length === 0 ? undefined : JSON.stringify(crashes);
   }
 
   public hear(_instance: InstanceId, value: string): void {
     const now = this.options.timers.now();
-    for (const death of JSON.parse(value) as readonly UpstreamCrash[]) {
-      this.quarantine.recordCrash(death, now);
+    for (const crash of JSON.parse(value) as readonly UpstreamCrash[]) {
+      this.quarantine.recordCrash(crash, now);
     }
   }
 }
--- a/packages/instance/src/upstreams/queueingDispatcher.ts
+++ b/packages/instance/src/upstreams/queueingDispatcher.ts
@@ -5,70 +5,74 @@
 import { callCost } from '@zincring/scheduling';
 
 import type { CallUsage } from '../programs/programMessages.js';
-import type { EngineMemory } from './engineMemory.js';
+import type { EngineMemoryReleaser } from './engineMemoryReleaser.js';
 import type { PoisonGuard } from './poisonGuard.js';
 import type { ReplicaSender } from './replicaSender.js';
-import type { LanePlace, PlaceEnd, ServiceLane } from './serviceLane.js';
+import type { ReplicaSlot, SlotReport, ServiceQueue } from './serviceQueue.js';
 import type { UpstreamDispatcher, UpstreamFrame, UpstreamWork } from './upstreamMessages.js';
 
-import { promptPrefixes } from './promptPrefixes.js';
+import { computePromptPrefixes } from './computePromptPrefixes.js';
 import { classifyUpstreamFailure, type UpstreamFailure } from './upstreamFailure.js';
-import { estimateTokens, workDigest } from './workDigest.js';
+import { estimateTokens, computeWorkDigest } from './workDigest.js';
 
-/** What dispatching needs. */
+/** Dependencies of a {@link QueueingDispatcher}. */
 export interface QueueingDispatcherOptions {
   readonly timers: TimerService;
   readonly metrics: Metrics;
   readonly sender: ReplicaSender;
-  readonly guard: PoisonGuard;
-  readonly memory: EngineMemory;
-  /** Counts tokens that were computed for a workspace. */
-  readonly countUse: (service: ServiceName, workspace: WorkspaceName, tokens: number) => void;
-  /** The lane of a service. */
-  readonly laneOf: (service: ServiceName) => ServiceLane;
-  /** The retry budget of a service. */
+  readonly poisonGuard: PoisonGuard;
+  readonly memoryReleaser: EngineMemoryReleaser;
+  /** Records tokens that were computed for a workspace. */
+  readonly recordUse: (service: ServiceName, workspace: WorkspaceName, tokens: number) => void;
+  /** Returns the queue of a service. */
+  readonly queueOf: (service: ServiceName) => ServiceQueue;
+  /** Returns the retry budget of a service. */
   readonly retryBudgetOf: (service: ServiceName) => RetryBudget;
 }
 
-/** Work on its way through attempts. */
-interface Attempts {
+/** State of a piece of work across its attempts. */
+interface DispatchState {
   readonly work: UpstreamWork;
   readonly digest: BodyDigest;
   readonly prefixes: PrefixChain;
   readonly promptTokens: number;
+  /** Monotonic time in milliseconds. */
   readonly deadline: number;
+  /** Replicas that failed an attempt, in the order of the attempts. */
   readonly excluded: Set<UpstreamId>;
-  /** Whether an attempt was sent, so that a later refusal must not say "not run". */
+  /** Whether an attempt was sent; a later refusal must then not report that nothing ran. */
   mayHaveRun: boolean;
 }
 
-/** How one attempt ended. */
-type AttemptEnd =
+/** Outcome of one attempt. */
+type AttemptOutcome =
   | { readonly kind: 'answered' }
   | { readonly kind: 'failed'; readonly failure: UpstreamFailure; readonly hasData: boolean }
   | { readonly kind: 'refused'; readonly error: ZincringError };
 
 /**
- * Sends work to upstreams: waits in the lane of the service, sends to the replica chosen, and
- * tries another one where that is safe and within the retry budget.
+ * Sends work to upstreams: waits in the queue of the service, sends the work to the chosen replica,
+ * and retries at another replica if that is safe and within the retry budget.
  */
 export class QueueingDispatcher implements UpstreamDispatcher {
   public constructor(private readonly options: QueueingDispatcherOptions) {}
 
   public async *dispatch(work: UpstreamWork): AsyncGenerator<UpstreamFrame> {
-    const attempts = this.begin(work);
+    const state = this.createState(work);
     const startedAt = this.options.timers.now();
     this.options.retryBudgetOf(work.service).recordFirstAttempt();
     for (;;) {
-      const end = yield* this.attempt(attempts);
-      if (end.kind === 'answered') {
-        this.noteFinished(work, 'answered', startedAt);
+      const outcome = yield* this.attempt(state);
+      if (outcome.kind === 'answered') {
+        this.recordFinished(work, 'answered', startedAt);
         return;
       }
       const error =
-        end.kind === 'refused' ? truthful(attempts, end.error) : await this.judge(attempts, end);
+        outcome.kind === 'refused'
+          ? correctRan(state, outcome.error)
+          : await this.decideAfterFailure(state, outcome);
       if (error !== undefined) {
-        this.noteFinished(work, error.kind, startedAt);
+        this.recordFinished(work, error.kind, startedAt);
         yield { error, kind: 'failed' };
         return;
       }
@@ -76,11 +80,11 @@
     }
   }
 
-  private begin(work: UpstreamWork): Attempts {
-    const prefixes = promptPrefixes(work);
+  private createState(work: UpstreamWork): DispatchState {
+    const prefixes = computePromptPrefixes(work);
     return {
       deadline: this.options.timers.now() + work.timeoutMilliseconds,
-      digest: workDigest(work) as BodyDigest,
+      digest: computeWorkDigest(work) as BodyDigest,
       excluded: new Set(),
       mayHaveRun: false,
       prefixes,
@@ -89,49 +93,53 @@
     };
   }
 
-  private async *attempt(attempts: Attempts): AsyncGenerator<UpstreamFrame, AttemptEnd> {
-    const { work } = attempts;
-    const poison = this.options.guard.findRefusal(attempts.digest);
-    if (poison !== undefined) {
-      return { error: poison, kind: 'refused' };
+  private async *attempt(state: DispatchState): AsyncGenerator<UpstreamFrame, AttemptOutcome> {
+    const { work } = state;
+    const refusal = this.options.poisonGuard.findRefusal(state.digest);
+    if (refusal !== undefined) {
+      return { error: refusal, kind: 'refused' };
     }
-    const lane = this.options.laneOf(work.service);
+    const queue = this.options.queueOf(work.service);
     const queuedAt = this.options.timers.now();
-    const acquired = await lane.acquire(createLaneRequest(attempts));
-    const waited = this.options.timers.now() - queuedAt;
-    this.options.metrics.timing('queue.duration', waited, { service: work.service });
-    if (acquired.err) {
-      return { error: acquired.val, kind: 'refused' };
+    const acquisition = await queue.acquire(createSlotRequest(state));
+    const waitedMilliseconds = this.options.timers.now() - queuedAt;
+    this.options.metrics.timing('queue.duration', waitedMilliseconds, { service: work.service });
+    if (acquisition.err) {
+      return { error: acquisition.val, kind: 'refused' };
     }
-    const place = acquired.val;
-    const prepared = await work.beforeSend();
-    if (prepared.err) {
-      lane.release(place, { end: 'cancelled', usedTokens: 0 });
-      return { error: prepared.val, kind: 'refused' };
+    const slot = acquisition.val;
+    const preparation = await work.beforeSend();
+    if (preparation.err) {
+      queue.release(slot, { end: 'cancelled', usedTokens: 0 });
+      return { error: preparation.val, kind: 'refused' };
     }
     if (work.program !== undefined && work.payload.protocol === 'engine') {
-      this.options.memory.noteUse(work.program, place.replica.id);
+      this.options.memoryReleaser.recordUse(work.program, slot.replica.id);
     }
-    return yield* this.send(attempts, lane, place);
+    return yield* this.send(state, queue, slot);
   }
 
   private async *send(
-    attempts: Attempts,
-    lane: ServiceLane,
-    place: LanePlace,
-  ): AsyncGenerator<UpstreamFrame, AttemptEnd> {
-    const { work } = attempts;
-    const remaining = Math.max(1, attempts.deadline - this.options.timers.now());
-    const limited: UpstreamWork = { ...work, timeoutMilliseconds: remaining };
-    const answer: Uint8Array[] = [];
-    let end: PlaceEnd = { end: 'cancelled', usedTokens: 0 };
+    state: DispatchState,
+    queue: ServiceQueue,
+    slot: ReplicaSlot,
+  ): AsyncGenerator<UpstreamFrame, AttemptOutcome> {
+    const { work } = state;
+    const remainingMilliseconds = Math.max(1, state.deadline - this.options.timers.now());
+    const limitedWork: UpstreamWork = { ...work, timeoutMilliseconds: remainingMilliseconds };
+    const responseChunks: Uint8Array[] = [];
+    let report: SlotReport = { end: 'cancelled', usedTokens: 0 };
     try {
-      for await (const frame of this.options.sender.send(place.replica, limited, place.priority)) {
+      for await (const frame of this.options.sender.send(
+        slot.replica,
+        limitedWork,
+        slot.priority,
+      )) {
         if (frame.kind === 'data') {
-          answer.push(frame.data);
+          responseChunks.push(frame.data);
         }
         if (frame.kind === 'done') {
-          end = succeeded(attempts, frame, answer);
+          report = createSuccessReport(state, frame, responseChunks);
           this.countTokens(work.service, frame.usage);
         }
         yield frame;
@@ -139,46 +147,46 @@
       return { kind: 'answered' };
     } catch (thrown) {
       const failure = classifyUpstreamFailure(thrown);
-      const isGivenUp = failure.stage === 'timed-out' && work.signal.aborted;
-      end = { end: isGivenUp ? 'cancelled' : 'failed', usedTokens: 0 };
-      attempts.excluded.add(place.replica.id);
-      attempts.mayHaveRun ||= failure.stage !== 'unsent';
-      return { failure, hasData: answer.length > 0, kind: 'failed' };
+      const isCancelled = failure.stage === 'timed-out' && work.signal.aborted;
+      report = { end: isCancelled ? 'cancelled' : 'failed', usedTokens: 0 };
+      state.excluded.add(slot.replica.id);
+      state.mayHaveRun ||= failure.stage !== 'unsent';
+      return { failure, hasData: responseChunks.length > 0, kind: 'failed' };
     } finally {
-      lane.release(place, end);
-      if (end.usedTokens > 0) {
-        this.options.countUse(work.service, work.workspace, end.usedTokens);
+      queue.release(slot, report);
+      if (report.usedTokens > 0) {
+        this.options.recordUse(work.service, work.workspace, report.usedTokens);
       }
     }
   }
 
-  /** Decides after a failed attempt; `undefined` when the work may be sent again. */
-  private async judge(
-    attempts: Attempts,
-    end: Extract<AttemptEnd, { kind: 'failed' }>,
+  /** Handles a failed attempt: returns the error that ends the work, or `undefined` to retry. */
+  private async decideAfterFailure(
+    state: DispatchState,
+    outcome: Extract<AttemptOutcome, { kind: 'failed' }>,
   ): Promise<undefined | ZincringError> {
-    const { failure, hasData } = end;
-    const { digest, work } = attempts;
+    const { failure, hasData } = outcome;
+    const { digest, work } = state;
     if (failure.stage === 'died') {
-      const died = [...attempts.excluded].at(-1);
-      if (died !== undefined) {
-        await this.options.guard.noteDeath(digest, died);
+      const crashedReplica = [...state.excluded].at(-1);
+      if (crashedReplica !== undefined) {
+        await this.options.poisonGuard.recordCrash(digest, crashedReplica);
       }
     }
-    const isOver = work.signal.aborted || this.options.timers.now() >= attempts.deadline;
+    const isExpired = work.signal.aborted || this.options.timers.now() >= state.deadline;
     if (failure.stage === 'unsent') {
-      return isOver ? truthful(attempts, failure.toZincringError()) : undefined;
+      return isExpired ? correctRan(state, failure.toZincringError()) : undefined;
     }
     if (!work.isIdempotent) {
       return new ZincringError('call-outcome-unknown', { detail: failure.message });
     }
-    if (isOver || hasData || !this.mayRetry(work.service)) {
+    if (isExpired || hasData || !this.tryAcquireRetry(work.service)) {
       return failure.toZincringError();
     }
     return undefined;
   }
 
-  private noteFinished(work: UpstreamWork, outcome: string, startedAt: number): void {
+  private recordFinished(work: UpstreamWork, outcome: string, startedAt: number): void {
     const { metrics, timers } = this.options;
     const { service } = work;
     metrics.increment('calls.finished', 1, { outcome, service });
@@ -191,20 +199,20 @@
     metrics.increment('upstream.tokens_computed', promptTokens - cachedTokens, { service });
   }
 
-  private mayRetry(service: ServiceName): boolean {
+  private tryAcquireRetry(service: ServiceName): boolean {
     return this.options.retryBudgetOf(service).tryAcquireRetry(this.options.timers.now());
   }
 }
 
-/** A refusal after an attempt that was sent cannot say that nothing has run. */
-function truthful(attempts: Attempts, error: ZincringError): ZincringError {
-  return attempts.mayHaveRun && error.ran === 'no'
+/** Changes `ran` of a refusal from "no" to "maybe" if an earlier attempt was sent. */
+function correctRan(state: DispatchState, error: ZincringError): ZincringError {
+  return state.mayHaveRun && error.ran === 'no'
     ? ZincringError.fromReport({ ...error.toReport(), ran: 'maybe' })
     : error;
 }
 
-function createLaneRequest(attempts: Attempts): Parameters<ServiceLane['acquire']>[0] {
-  const { deadline, excluded, prefixes, promptTokens, work } = attempts;
+function createSlotRequest(state: DispatchState): Parameters<ServiceQueue['acquire']>[0] {
+  const { deadline, excluded, prefixes, promptTokens, work } = state;
   return {
     attainedTokens: work.attainedTokens,
     deadline,
@@ -218,24 +226,24 @@
   };
 }
 
-/** Cost of a call whose history is cached; the queue settles it by what the call has used. */
+/** Estimates the cost of a call with a cached history; the queue corrects it by the actual use. */
 function estimateCost({ payload }: UpstreamWork): number {
   return payload.protocol === 'plain'
     ? 1
     : callCost(estimateTokens(payload.segments.at(-1) ?? ''), payload.maxTokens);
 }
 
-function succeeded(
-  attempts: Attempts,
+function createSuccessReport(
+  state: DispatchState,
   { usage }: Extract<UpstreamFrame, { kind: 'done' }>,
-  answer: readonly Uint8Array[],
-): PlaceEnd {
-  const isEngine = attempts.work.payload.protocol === 'engine';
+  responseChunks: readonly Uint8Array[],
+): SlotReport {
+  const isEngine = state.work.payload.protocol === 'engine';
   return {
     end: 'succeeded',
     prefixes: isEngine
-      ? promptPrefixes(attempts.work, Buffer.concat(answer).toString('utf8'))
-      : attempts.prefixes,
+      ? computePromptPrefixes(state.work, Buffer.concat(responseChunks).toString('utf8'))
+      : state.prefixes,
     usedTokens: Math.max(1, callCost(usage.promptTokens - usage.cachedTokens, usage.outputTokens)),
   };
 }
--- a/packages/instance/src/upstreams/replicaSender.ts
+++ b/packages/instance/src/upstreams/replicaSender.ts
@@ -6,19 +6,19 @@
 import { generateAtEngine } from './engineClient.js';
 import { requestPlainService } from './plainServiceClient.js';
 
-/** Sends work to one replica; throws an `UpstreamFailure` or whatever the connection threw. */
+/** Sends work to one replica; throws an `UpstreamFailure` or the error of the connection. */
 export interface ReplicaSender {
   send(replica: Replica, work: UpstreamWork, priority: number): AsyncIterable<UpstreamFrame>;
 }
 
-/** What sending over HTTP needs. */
+/** Dependencies and settings of an {@link HttpReplicaSender}. */
 export interface HttpReplicaSenderOptions {
   readonly timers: TimerService;
-  /** Longest silence of an engine in the middle of an answer, in milliseconds. */
+  /** Maximum time without a new frame of an engine's response, in milliseconds. */
   readonly stallMilliseconds: number;
 }
 
-/** Sends work over HTTP, with limits on the whole time and on the silence between two frames. */
+/** Sends work over HTTP, with timeouts for the complete response and for the next frame. */
 export class HttpReplicaSender implements ReplicaSender {
   public constructor(private readonly options: HttpReplicaSenderOptions) {}
 
@@ -27,36 +27,40 @@
     work: UpstreamWork,
     priority: number,
   ): AsyncGenerator<UpstreamFrame> {
-    const limits = new AbortController();
+    const abortController = new AbortController();
     const abort = (): void => {
-      limits.abort();
+      abortController.abort();
     };
-    const deadline = this.options.timers.after(work.timeoutMilliseconds, abort);
-    let stall = this.options.timers.after(this.stallLimit(work), abort);
+    const deadlineTimer = this.options.timers.after(work.timeoutMilliseconds, abort);
+    let stallTimer = this.options.timers.after(this.getStallTimeout(work), abort);
     work.signal.addEventListener('abort', abort, { once: true });
     try {
-      for await (const frame of open(replica, { ...work, signal: limits.signal }, priority)) {
-        stall.stop();
+      for await (const frame of openStream(
+        replica,
+        { ...work, signal: abortController.signal },
+        priority,
+      )) {
+        stallTimer.stop();
         yield frame;
-        stall = this.options.timers.after(this.stallLimit(work), abort);
+        stallTimer = this.options.timers.after(this.getStallTimeout(work), abort);
       }
     } finally {
-      deadline.stop();
-      stall.stop();
+      deadlineTimer.stop();
+      stallTimer.stop();
       work.signal.removeEventListener('abort', abort);
-      // A reader that leaves early frees the slot at the upstream.
-      limits.abort();
+      // If the consumer stopped early, aborting the request frees the slot at the upstream.
+      abortController.abort();
     }
   }
 
-  private stallLimit(work: UpstreamWork): number {
+  private getStallTimeout(work: UpstreamWork): number {
     return work.payload.protocol === 'engine'
       ? this.options.stallMilliseconds
       : work.timeoutMilliseconds;
   }
 }
 
-function open(
+function openStream(
   replica: Replica,
   work: UpstreamWork,
   priority: number,
--- a/packages/instance/src/upstreams/replicaTable.ts
+++ b/packages/instance/src/upstreams/replicaTable.ts
@@ -1,23 +1,23 @@
 import type { AvailabilityZone, ServiceName, UpstreamId } from '@zincring/core';
 import type { DirectoryEntry } from '@zincring/platform';
 
-/** One replica of a service. */
+/** Replica of a service. */
 export interface Replica {
   readonly id: UpstreamId;
   readonly service: ServiceName;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly zone: AvailabilityZone;
 }
 
-/** The replicas that the platform's list tells of. */
+/** Table of the replicas listed in the platform's directory. */
 export class ReplicaTable {
-  private replicasByService = new Map<ServiceName, readonly Replica[]>();
+  private liveReplicasByService = new Map<ServiceName, readonly Replica[]>();
   private replicasById = new Map<UpstreamId, Replica>();
 
-  /** Takes over the platform's list; leaving replicas get nothing new. */
+  /** Replaces the table by the platform's directory; replicas that are leaving get no new work. */
   public update(entries: readonly DirectoryEntry[]): void {
-    const replicas = new Map<ServiceName, Replica[]>();
+    const liveByService = new Map<ServiceName, Replica[]>();
     const byId = new Map<UpstreamId, Replica>();
     for (const { address, id, role, state, zone } of entries) {
       if (role.kind !== 'upstream') {
@@ -28,24 +28,24 @@
       if (state !== 'live') {
         continue;
       }
-      replicas.set(role.service, [...(replicas.get(role.service) ?? []), replica]);
+      liveByService.set(role.service, [...(liveByService.get(role.service) ?? []), replica]);
     }
-    this.replicasByService = replicas;
+    this.liveReplicasByService = liveByService;
     this.replicasById = byId;
   }
 
-  /** Finds a replica, also one that is leaving. */
+  /** Finds a replica, including one that is leaving. */
   public find(id: UpstreamId): Replica | undefined {
     return this.replicasById.get(id);
   }
 
-  /** Every replica, also those that are leaving. */
-  public all(): Iterable<Replica> {
+  /** Lists all replicas, including those that are leaving. */
+  public listAll(): Iterable<Replica> {
     return this.replicasById.values();
   }
 
-  /** Replicas of a service that take new work. */
-  public of(service: ServiceName): readonly Replica[] {
-    return this.replicasByService.get(service) ?? [];
+  /** Lists the replicas of a service that accept new work. */
+  public listLive(service: ServiceName): readonly Replica[] {
+    return this.liveReplicasByService.get(service) ?? [];
   }
 }
--- a/packages/instance/src/upstreams/serviceLanes.ts
+++ b/packages/instance/src/upstreams/serviceLanes.ts
@@ -16,169 +16,174 @@
   WindowedServiceScheduler,
 } from '@zincring/scheduling';
 
-import type { EngineOrders } from './engineOrders.js';
+import type { EngineControlClient } from './engineOrders.js';
 import type { Replica, ReplicaTable } from './replicaTable.js';
-import type { WaitingWork } from './serviceLane.js';
+import type { QueuedWork } from './serviceQueue.js';
 
-import { EngineReports } from './engineReports.js';
-import { replicaSubset } from './replicaSubset.js';
-import { ServiceLane } from './serviceLane.js';
+import { EngineReportPoller } from './engineReportPoller.js';
+import { selectReplicaSubset } from './selectReplicaSubset.js';
+import { ServiceQueue } from './serviceQueue.js';
 
-/** Settings of the policy; docs/operators/policy.md explains each. */
+/** Settings of the scheduling policy; docs/operators/policy.md explains each. */
 export interface PolicySettings {
-  /** Most calls that wait for one service at one instance. */
+  /** Maximum number of calls that wait for one service at one instance. */
   readonly maximumWaiting: number;
-  /** Most calls that wait for one service for one workspace at one instance. */
+  /** Maximum number of calls of one workspace that wait for one service at one instance. */
   readonly maximumWaitingPerWorkspace: number;
-  /** Price of each call that is computed beside, since a batch shares the replica, in milliseconds. */
+  /**
+   * Cost of each other call at the replica, since the calls of a batch share its compute, in
+   * milliseconds.
+   */
   readonly sharingMilliseconds: number;
-  /** Calls that an engine computes at a time. */
+  /** Number of calls that an engine computes concurrently. */
   readonly slotsPerReplica: number;
   /** Time to compute one prompt token, in milliseconds. */
   readonly prefillMillisecondsPerToken: number;
-  /** Time by which one computed prompt token holds up each call of the batch, in milliseconds. */
+  /** Delay that one computed prompt token adds to each call of the batch, in milliseconds. */
   readonly batchDelayMillisecondsPerToken: number;
-  /** Calls beyond the window of a replica that a workspace below its share may have there. */
+  /** Number of calls beyond the window of a replica allowed for workspaces below their share. */
   readonly belowShareOverflow: number;
-  /** Expected time of a call before any was measured, in milliseconds. */
+  /** Expected duration of a call before any has been measured, in milliseconds. */
   readonly callMilliseconds: number;
-  /** Price of leaving the availability zone, in milliseconds. */
+  /** Cost of a replica in another availability zone, in milliseconds. */
   readonly zoneMilliseconds: number;
-  /** Prefixes remembered, at most. */
+  /** Maximum number of prefixes kept. */
   readonly maximumPrefixes: number;
-  /** Calls waiting at a replica above which the windows shrink. */
+  /** Number of calls waiting at a replica above which the windows shrink. */
   readonly targetWaiting: number;
-  /** Time between readings of engines' reports, in milliseconds. */
+  /** Interval of polling the engines' reports, in milliseconds. */
   readonly reportMilliseconds: number;
-  /** How far load reports are assumed to lag, in milliseconds. */
+  /** Assumed lag of load reports, in milliseconds. */
   readonly reportLagMilliseconds: number;
-  /** How long a replica that failed gets nothing new, in milliseconds. */
+  /** Time for which a replica gets no new work after a failure, in milliseconds. */
   readonly suspicionMilliseconds: number;
-  /** Replicas of a service that one instance works with, at most. */
+  /** Maximum number of replicas of a service that one instance uses. */
   readonly maximumReplicas: number;
-  /** Retries for each first attempt. */
+  /** Number of retries that each first attempt adds to the retry budget; usually a fraction. */
   readonly retryShare: number;
-  /** Retries per second that are allowed without traffic, over all instances. */
+  /** Number of retries per second, over all instances, allowed independently of the traffic. */
   readonly retryReservePerSecond: number;
 }
 
-/** What the lanes need. */
-export interface ServiceLanesOptions {
+/** Dependencies and settings of {@link ServiceQueues}. */
+export interface ServiceQueuesOptions {
   readonly settings: PolicySettings;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly zone: AvailabilityZone;
   readonly self: InstanceId;
   readonly replicas: ReplicaTable;
-  readonly orders: EngineOrders;
+  readonly orders: EngineControlClient;
   readonly configuration: () => Configuration | undefined;
-  /** Instances that share the replicas. */
+  /** Returns the number of instances that share the replicas. */
   readonly instanceCount: () => number;
 }
 
-interface Lane {
-  readonly lane: ServiceLane;
-  readonly scheduler: WindowedServiceScheduler<WaitingWork>;
-  readonly reports: EngineReports | undefined;
+interface ServiceEntry {
+  readonly queue: ServiceQueue;
+  readonly scheduler: WindowedServiceScheduler<QueuedWork>;
+  readonly reportPoller: EngineReportPoller | undefined;
   readonly retryBudget: RetryBudget;
 }
 
-/** What a status shows of one replica. */
+/** Status of one replica at this instance. */
 export interface ReplicaStatus {
   readonly replica: Replica;
+  /** Number of calls of this instance in flight at the replica. */
   readonly inFlight: number;
+  /** Size of this instance's concurrency window for the replica. */
   readonly window: number;
 }
 
 const DEFAULT_CONCURRENCY = 64;
-const RETRIES_SAVED = 10;
+const MAXIMUM_SAVED_RETRIES = 10;
 
-/** The lanes of all services at one instance. */
-export class ServiceLanes {
-  private readonly lanes = new Map<ServiceName, Lane>();
+/** Queues, schedulers and retry budgets of all services at one instance. */
+export class ServiceQueues {
+  private readonly entries = new Map<ServiceName, ServiceEntry>();
 
   private readonly startedAt: number;
 
-  public constructor(private readonly options: ServiceLanesOptions) {
+  public constructor(private readonly options: ServiceQueuesOptions) {
     this.startedAt = options.timers.now();
   }
 
-  /** The lane of a service, made when first used. */
-  public laneOf(service: ServiceName): ServiceLane {
-    return this.find(service).lane;
+  /** Returns the queue of a service; creates it on first use. */
+  public queueOf(service: ServiceName): ServiceQueue {
+    return this.findOrCreate(service).queue;
   }
 
-  /** The retry budget of a service. */
+  /** Returns the retry budget of a service. */
   public retryBudgetOf(service: ServiceName): RetryBudget {
-    return this.find(service).retryBudget;
+    return this.findOrCreate(service).retryBudget;
   }
 
-  /** Takes over the platform's list in every lane. */
+  /** Applies the current lists of replicas and instances to every service. */
   public refreshReplicas(): void {
-    for (const [service, { lane, scheduler }] of this.lanes) {
-      scheduler.reconfigure(this.windowOptions(service));
-      lane.refreshReplicas();
+    for (const [service, { queue, scheduler }] of this.entries) {
+      scheduler.reconfigure(this.createWindowOptions(service));
+      queue.refreshReplicas();
     }
   }
 
-  /** Ends the lanes of services that the configuration no longer has, once nothing waits. */
-  public retainConfigured(configuration: Configuration): void {
-    for (const [service, { lane, reports }] of this.lanes) {
-      if (!configuration.services.has(service) && lane.waiting === 0) {
-        reports?.stop();
-        this.lanes.delete(service);
+  /** Removes the services that the configuration no longer has, if nothing waits for them. */
+  public removeUnconfigured(configuration: Configuration): void {
+    for (const [service, { queue, reportPoller }] of this.entries) {
+      if (!configuration.services.has(service) && queue.waitingCount === 0) {
+        reportPoller?.stop();
+        this.entries.delete(service);
       }
     }
   }
 
-  /** Counts what another instance served to a workspace at a service. */
+  /** Counts tokens that another instance served to a workspace at a service. */
   public observeRemoteUse(service: ServiceName, workspace: WorkspaceName, tokens: number): void {
-    this.lanes.get(service)?.scheduler.observeRemoteUse(workspace, tokens);
+    this.entries.get(service)?.scheduler.observeRemoteUse(workspace, tokens);
   }
 
-  /** Replicas with what this instance has in flight there. */
+  /** Returns the status of every replica. */
   public describe(): readonly ReplicaStatus[] {
-    return [...this.options.replicas.all()].map(replica => {
-      const window = this.lanes.get(replica.service)?.scheduler.describeWindow(replica.id);
+    return [...this.options.replicas.listAll()].map(replica => {
+      const window = this.entries.get(replica.service)?.scheduler.describeWindow(replica.id);
       return { inFlight: window?.used ?? 0, replica, window: window?.size ?? 0 };
     });
   }
 
-  /** Stops reading reports. */
+  /** Stops polling reports. */
   public stop(): void {
-    for (const { reports } of this.lanes.values()) {
-      reports?.stop();
+    for (const { reportPoller } of this.entries.values()) {
+      reportPoller?.stop();
     }
   }
 
-  private find(service: ServiceName): Lane {
-    const known = this.lanes.get(service);
-    if (known !== undefined) {
-      return known;
+  private findOrCreate(service: ServiceName): ServiceEntry {
+    const existing = this.entries.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
-    const lane = this.create(service);
-    this.lanes.set(service, lane);
-    lane.lane.refreshReplicas();
-    lane.reports?.start();
-    return lane;
+    const entry = this.createEntry(service);
+    this.entries.set(service, entry);
+    entry.queue.refreshReplicas();
+    entry.reportPoller?.start();
+    return entry;
   }
 
-  private create(service: ServiceName): Lane {
+  private createEntry(service: ServiceName): ServiceEntry {
     const { self, settings, timers } = this.options;
     const replicas = (): readonly Replica[] =>
-      replicaSubset(this.options.replicas.of(service), self, settings.maximumReplicas);
+      selectReplicaSubset(this.options.replicas.listLive(service), self, settings.maximumReplicas);
     const scheduler = this.createScheduler(service);
     return {
-      lane: new ServiceLane({ replicas, scheduler, timers }),
-      reports: this.createReports(service, scheduler, replicas),
+      queue: new ServiceQueue({ replicas, scheduler, timers }),
+      reportPoller: this.createReportPoller(service, scheduler, replicas),
       retryBudget: this.createRetryBudget(),
       scheduler,
     };
   }
 
-  private createScheduler(service: ServiceName): WindowedServiceScheduler<WaitingWork> {
+  private createScheduler(service: ServiceName): WindowedServiceScheduler<QueuedWork> {
     const { settings, zone } = this.options;
-    return new WindowedServiceScheduler<WaitingWork>({
+    return new WindowedServiceScheduler<QueuedWork>({
       belowShareOverflow: settings.belowShareOverflow,
       chooser: new CostReplicaChooser({
         batchDelayMillisecondsPerToken: settings.batchDelayMillisecondsPerToken,
@@ -191,26 +196,26 @@
         zone,
         zoneMilliseconds: settings.zoneMilliseconds,
       }),
-      queue: new FairWorkQueue<WaitingWork>({
+      queue: new FairWorkQueue<QueuedWork>({
         maxItems: settings.maximumWaiting,
         maxItemsPerWorkspace: settings.maximumWaitingPerWorkspace,
         weightOf: workspace => this.weightOf(workspace),
       }),
       suspicionMilliseconds: settings.suspicionMilliseconds,
-      window: this.windowOptions(service),
+      window: this.createWindowOptions(service),
     });
   }
 
-  private createReports(
+  private createReportPoller(
     service: ServiceName,
-    scheduler: WindowedServiceScheduler<WaitingWork>,
+    scheduler: WindowedServiceScheduler<QueuedWork>,
     replicas: () => readonly Replica[],
-  ): EngineReports | undefined {
+  ): EngineReportPoller | undefined {
     if (this.ruleOf(service)?.protocol !== 'engine') {
       return undefined;
     }
     const { logger, orders, settings, timers } = this.options;
-    return new EngineReports({
+    return new EngineReportPoller({
       intervalMilliseconds: settings.reportMilliseconds,
       lagMilliseconds: settings.reportLagMilliseconds,
       logger,
@@ -225,14 +230,14 @@
     const { instanceCount, settings } = this.options;
     const options = {
       instances: instanceCount(),
-      maxSaved: RETRIES_SAVED,
+      maxSaved: MAXIMUM_SAVED_RETRIES,
       reservePerSecond: settings.retryReservePerSecond,
       share: settings.retryShare,
     };
     return new RetryBudget(options, this.startedAt);
   }
 
-  private windowOptions(service: ServiceName): ConcurrencyWindowOptions {
+  private createWindowOptions(service: ServiceName): ConcurrencyWindowOptions {
     const { instanceCount, settings } = this.options;
     return {
       callMilliseconds: settings.callMilliseconds,
--- a/packages/instance/src/upstreams/upstreamFailure.ts
+++ b/packages/instance/src/upstreams/upstreamFailure.ts
@@ -1,13 +1,13 @@
 import { ZincringError } from '@zincring/core';
 
 /**
- * How far a request to an upstream had come when it failed: `unsent` when nothing was written,
- * `died` when the upstream closed the connection in the middle, `timed-out`, or `failed` with an
- * answer that is no success.
+ * Stage at which a request to an upstream failed: `unsent` if nothing was sent, `died` if the
+ * upstream closed the connection before the end of the response, `timed-out`, or `failed` if the
+ * response reports an error.
  */
 export type UpstreamFailureStage = 'died' | 'failed' | 'timed-out' | 'unsent';
 
-/** A request to an upstream that has no whole answer. */
+/** Failure of a request to an upstream, which got no complete, successful response. */
 export class UpstreamFailure extends Error {
   public constructor(
     public readonly stage: UpstreamFailureStage,
@@ -17,7 +17,7 @@
     this.name = 'UpstreamFailure';
   }
 
-  /** The error that callers see. */
+  /** Converts the failure into the error that callers receive. */
   public toZincringError(): ZincringError {
     switch (this.stage) {
       case 'unsent':
@@ -34,7 +34,7 @@
   }
 }
 
-/** Codes of a connection that was never made. */
+/** Error codes of connections that were never established. */
 const UNSENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTDOWN',
@@ -43,7 +43,7 @@
 ]);
 
 /**
- * Sorts whatever a request to an upstream threw.
+ * Converts any value thrown by a request to an upstream into an {@link UpstreamFailure}.
  *
  * @example
  * classifyUpstreamFailure(error).stage; // 'died'
--- a/packages/instance/src/upstreams/upstreamRequest.ts
+++ b/packages/instance/src/upstreams/upstreamRequest.ts
@@ -2,12 +2,12 @@
 
 import { Agent, request } from 'node:http';
 
-/** Connections to upstreams, kept open between requests. */
+/** Pool of connections to upstreams, which are kept open between requests. */
 const agent = new Agent({ keepAlive: true, maxSockets: 512 });
 
-/** One request to an upstream. */
+/** HTTP request to an upstream. */
 export interface UpstreamRequest {
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
   readonly method: string;
   readonly path: string;
@@ -16,8 +16,8 @@
   readonly signal: AbortSignal;
 }
 
-/** Sends a request and waits for the head of the answer; rejects when there is none. */
-export async function openRequest(options: UpstreamRequest): Promise<IncomingMessage> {
+/** Sends a request and waits for the head of the response; rejects if there is none. */
+export async function sendRequest(options: UpstreamRequest): Promise<IncomingMessage> {
   const [host, port] = options.address.split(':');
   return await new Promise((resolve, reject) => {
     const outgoing = request({
@@ -35,34 +35,34 @@
   });
 }
 
-/** Longest line that an upstream may send, in characters. */
-const LONGEST_LINE = 1_048_576;
+/** Maximum length of a line, or of a response read as a whole, in characters. */
+const MAXIMUM_LINE_CHARACTERS = 1_048_576;
 
-/** Splits an answer into lines. */
+/** Reads a response line by line. */
 export async function* readLines(response: IncomingMessage): AsyncGenerator<string> {
-  let rest = '';
+  let remainder = '';
   response.setEncoding('utf8');
   for await (const chunk of response as AsyncIterable<string>) {
-    const lines = (rest + chunk).split('\n');
-    rest = lines.pop() ?? '';
-    if (rest.length > LONGEST_LINE) {
+    const lines = (remainder + chunk).split('\n');
+    remainder = lines.pop() ?? '';
+    if (remainder.length > MAXIMUM_LINE_CHARACTERS) {
       throw new Error('the upstream sent too long a line');
     }
     yield* lines;
   }
-  if (rest !== '') {
-    yield rest;
+  if (remainder !== '') {
+    yield remainder;
   }
 }
 
-/** Reads a whole answer as text; rejects when it is longer than a line may be. */
-export async function readAll(response: IncomingMessage): Promise<string> {
+/** Reads a complete response as text; rejects if it exceeds the maximum length of a line. */
+export async function readText(response: IncomingMessage): Promise<string> {
   let text = '';
   response.setEncoding('utf8');
   for await (const chunk of response as AsyncIterable<string>) {
     text += chunk;
-    if (text.length > LONGEST_LINE) {
-      throw new Error('the upstream sent too long an answer');
+    if (text.length > MAXIMUM_LINE_CHARACTERS) {
+      throw new Error('the upstream response exceeds the maximum length');
     }
   }
   return text;
--- a/packages/instance/src/upstreams/upstreams.ts
+++ b/packages/instance/src/upstreams/upstreams.ts
@@ -5,31 +5,31 @@
 import { preferredHolder, shardOf } from '@zincring/coordination';
 
 import type { GossipParticipant } from '../peers/gossipParticipant.js';
-import type { EngineOrders } from './engineOrders.js';
+import type { EngineControlClient } from './engineOrders.js';
 import type { ProgramCensus } from './engineSweeper.js';
 import type { ReplicaSender } from './replicaSender.js';
 import type { PolicySettings, ReplicaStatus } from './serviceLanes.js';
 import type { UpstreamDispatcher } from './upstreamMessages.js';
 
-import { EngineMemory } from './engineMemory.js';
+import { EngineMemoryReleaser } from './engineMemoryReleaser.js';
 import { EngineSweeper } from './engineSweeper.js';
 import { PoisonGuard } from './poisonGuard.js';
 import { QueueingDispatcher } from './queueingDispatcher.js';
 import { ReplicaTable } from './replicaTable.js';
-import { ServiceLanes } from './serviceLanes.js';
+import { ServiceQueues } from './serviceLanes.js';
 import { WorkspaceUseGossip } from './workspaceUseGossip.js';
 
-/** Settings of the slice. */
+/** Settings of the upstreams module. */
 export interface UpstreamSettings extends PolicySettings {
-  /** Time between attempts at release orders that were not confirmed, in milliseconds. */
+  /** Interval of retrying memory releases that were not confirmed, in milliseconds. */
   readonly releaseRetryMilliseconds: number;
-  /** Most release orders that wait. */
+  /** Maximum number of pending memory releases. */
   readonly maximumReleases: number;
-  /** Time between sweeps of the engines, in milliseconds. */
+  /** Interval of sweeping the engines, in milliseconds. */
   readonly sweepMilliseconds: number;
 }
 
-/** What the slice needs of the others. */
+/** Dependencies and settings of {@link Upstreams}. */
 export interface UpstreamsOptions {
   readonly settings: UpstreamSettings;
   readonly timers: TimerService;
@@ -38,100 +38,100 @@
   readonly zone: AvailabilityZone;
   readonly self: InstanceId;
   readonly sender: ReplicaSender;
-  readonly orders: EngineOrders;
+  readonly orders: EngineControlClient;
   readonly census: ProgramCensus;
   readonly configuration: () => Configuration | undefined;
-  /** Instances that are alive, this one included. */
+  /** Returns the names of the instances that are alive, including this one. */
   readonly instances: () => ReadonlySet<string>;
-  /** Tells the other instances the news at once; settles when they have answered. */
+  /** Sends this instance's gossip to the others immediately; settles once they have answered. */
   readonly spreadNews: () => Promise<void>;
 }
 
-/** Number of parts into which the engines are divided for the sweep. */
-const SWEEP_PARTS = 4_096;
+/** Number of shards by which engines are assigned to the instances that sweep them. */
+const SWEEP_SHARD_COUNT = 4_096;
 
-/** Everything between a call and the replica that runs it. */
+/** Creates and connects the components that queue calls and send them to replicas. */
 export class Upstreams {
   public readonly dispatcher: UpstreamDispatcher;
-  public readonly memory: EngineMemory;
+  public readonly memory: EngineMemoryReleaser;
   public readonly participants: readonly GossipParticipant[];
   private readonly replicas = new ReplicaTable();
-  private readonly lanes: ServiceLanes;
+  private readonly serviceQueues: ServiceQueues;
   private readonly sweeper: EngineSweeper;
 
   public constructor(private readonly options: UpstreamsOptions) {
     const { metrics, orders, sender, settings, spreadNews, timers } = options;
     const { replicas } = this;
-    const guard = new PoisonGuard({ spreadNews, timers });
-    this.lanes = new ServiceLanes({
+    const poisonGuard = new PoisonGuard({ spreadNews, timers });
+    this.serviceQueues = new ServiceQueues({
       ...options,
       instanceCount: () => options.instances().size,
       replicas,
     });
-    const use = new WorkspaceUseGossip((service, workspace, tokens) => {
-      this.lanes.observeRemoteUse(service, workspace, tokens);
+    const workspaceUseGossip = new WorkspaceUseGossip((service, workspace, tokens) => {
+      this.serviceQueues.observeRemoteUse(service, workspace, tokens);
     });
-    this.participants = [guard, use];
-    this.memory = new EngineMemory({
+    this.participants = [poisonGuard, workspaceUseGossip];
+    this.memory = new EngineMemoryReleaser({
       ...options,
-      maximumPending: settings.maximumReleases,
+      maximumPendingReleases: settings.maximumReleases,
       replicas,
       retryMilliseconds: settings.releaseRetryMilliseconds,
     });
     this.sweeper = this.createSweeper(orders);
     this.dispatcher = new QueueingDispatcher({
-      countUse: (service, workspace, tokens) => {
-        use.add(service, workspace, tokens);
+      recordUse: (service, workspace, tokens) => {
+        workspaceUseGossip.add(service, workspace, tokens);
       },
-      guard,
-      laneOf: service => this.lanes.laneOf(service),
-      memory: this.memory,
+      poisonGuard,
+      queueOf: service => this.serviceQueues.queueOf(service),
+      memoryReleaser: this.memory,
       metrics,
-      retryBudgetOf: service => this.lanes.retryBudgetOf(service),
+      retryBudgetOf: service => this.serviceQueues.retryBudgetOf(service),
       sender,
       timers,
     });
   }
 
-  /** Begins to release engine memory and to sweep. */
+  /** Starts retrying memory releases and sweeping engines. */
   public start(): void {
     this.memory.start();
     this.sweeper.start();
   }
 
-  /** Stops everything that repeats. */
+  /** Stops the retries, the sweep and the polling of engines. */
   public stop(): void {
     this.memory.stop();
     this.sweeper.stop();
-    this.lanes.stop();
+    this.serviceQueues.stop();
   }
 
-  /** Takes over the platform's list. */
+  /** Applies the platform's directory. */
   public updateDirectory(entries: readonly DirectoryEntry[]): void {
     this.replicas.update(entries);
-    this.lanes.refreshReplicas();
+    this.serviceQueues.refreshReplicas();
   }
 
-  /** Takes over a newer configuration. */
+  /** Applies a newer configuration. */
   public updateConfiguration(configuration: Configuration): void {
-    this.lanes.retainConfigured(configuration);
+    this.serviceQueues.removeUnconfigured(configuration);
   }
 
-  /** Replicas with what this instance has in flight there. */
+  /** Returns the status of every replica. */
   public describe(): readonly ReplicaStatus[] {
-    return this.lanes.describe();
+    return this.serviceQueues.describe();
   }
 
-  private createSweeper(orders: EngineOrders): EngineSweeper {
+  private createSweeper(orders: EngineControlClient): EngineSweeper {
     const { census, configuration, instances, logger, self, settings, timers } = this.options;
     return new EngineSweeper({
-      census,
+      goneProgramFinder: census,
       intervalMilliseconds: settings.sweepMilliseconds,
       isEngine: replica => configuration()?.services.get(replica.service)?.protocol === 'engine',
       isResponsible: replica =>
-        preferredHolder(shardOf(replica.id, SWEEP_PARTS), instances()) === self,
+        preferredHolder(shardOf(replica.id, SWEEP_SHARD_COUNT), instances()) === self,
       logger,
-      memory: this.memory,
+      memoryReleaser: this.memory,
       orders,
       replicas: this.replicas,
       timers,
--- a/packages/instance/src/upstreams/workDigest.ts
+++ b/packages/instance/src/upstreams/workDigest.ts
@@ -3,12 +3,13 @@
 import type { UpstreamWork } from './upstreamMessages.js';
 
 /**
- * Digests of the prefixes of a prompt, shortest first, as engines name them in cache events.
+ * Computes the digests of the prefixes of a prompt, shortest first. Engines identify prefixes in
+ * cache events by the same digests.
  *
  * @example
- * prefixDigests(['system prompt', 'first question']); // two digests
+ * computePrefixDigests(['system prompt', 'first question']); // two digests
  */
-export function prefixDigests(segments: readonly string[]): readonly string[] {
+export function computePrefixDigests(segments: readonly string[]): readonly string[] {
   let previous = '';
   return segments.map(segment => {
     previous = sha256Hex(`${previous}\n${segment}`);
@@ -17,12 +18,13 @@
 }
 
 /**
- * Digest of what an upstream would be asked to run: equal for resends, whatever their call id.
+ * Computes the digest of the service and the request body; resends have the same digest, whatever
+ * their call id.
  *
  * @example
- * const digest = workDigest(work);
+ * const digest = computeWorkDigest(work);
  */
-export function workDigest(work: UpstreamWork): string {
+export function computeWorkDigest(work: UpstreamWork): string {
   const { payload, service } = work;
   switch (payload.protocol) {
     case 'engine':
@@ -34,11 +36,11 @@
   }
 }
 
-/** Characters of a token, for estimates before an engine has counted. */
+/** Assumed characters per token, for estimates before an engine has counted the tokens. */
 const CHARACTERS_PER_TOKEN = 4;
 
 /**
- * Estimates the tokens of a text.
+ * Estimates the number of tokens of a text.
  *
  * @example
  * estimateTokens('0123456789'); // 3
--- a/packages/instance/src/upstreams/workspaceUseGossip.ts
+++ b/packages/instance/src/upstreams/workspaceUseGossip.ts
@@ -7,62 +7,68 @@
 
 import type { GossipParticipant } from '../peers/gossipParticipant.js';
 
-/** Tokens that one run of an instance has served at one service. */
-interface ToldUse {
+/** Tokens that one incarnation of an instance has served at one service. */
+interface ServiceUse {
   readonly service: ServiceName;
   readonly totals: readonly WorkspaceTotal[];
 }
 
-/** What one run of an instance tells. */
-interface ToldUses {
-  /** Totals begin at zero with every run, so each run counts by itself. */
+/** Report of one incarnation of an instance, sent as JSON. */
+interface UseReport {
+  /** Incarnation of the instance; totals start at zero with each, so each is counted separately. */
   readonly run: IncarnationId;
-  readonly uses: readonly ToldUse[];
+  readonly uses: readonly ServiceUse[];
 }
 
-/** Called for tokens that another instance has served. */
+/** Called with the tokens that another instance has newly served. */
 export type RemoteServiceUseListener = (
   service: ServiceName,
   workspace: WorkspaceName,
   tokens: number,
 ) => void;
 
-/** Workspaces told in one heartbeat, at most, for each service. */
-const WORKSPACES_PER_HEARTBEAT = 64;
+/** Maximum number of workspaces of each service reported in one heartbeat. */
+const MAXIMUM_WORKSPACES_PER_HEARTBEAT = 64;
 
-/** Lets the fair queues of all instances count what a workspace was served anywhere. */
+/**
+ * Exchanges the token use of workspaces among the instances; the fair queues of each then count the
+ * use at all of them.
+ */
 export class WorkspaceUseGossip implements GossipParticipant {
   public readonly key = 'workspace-use';
-  private readonly run = randomUUID() as string as IncarnationId;
+  private readonly incarnation = randomUUID() as string as IncarnationId;
   private readonly uses = new Map<ServiceName, WorkspaceUse>();
 
   public constructor(private readonly listener: RemoteServiceUseListener) {}
 
-  /** Counts tokens that this instance served. */
+  /** Adds tokens that this instance served. */
   public add(service: ServiceName, workspace: WorkspaceName, tokens: number): void {
-    this.useOf(service).add(workspace, tokens);
+    this.findOrCreateUse(service).add(workspace, tokens);
   }
 
   public tell(): string | undefined {
     const uses = [...this.uses].map(([service, use]) => ({
       service,
-      totals: use.listRecentTotals(WORKSPACES_PER_HEARTBEAT),
+      totals: use.listRecentTotals(MAXIMUM_WORKSPACES_PER_HEARTBEAT),
     }));
-    const told: ToldUses = { run: this.run, uses: uses.filter(each => each.totals.length > 0) };
-    return told.uses.length === 0 ? undefined : JSON.stringify(told);
+    const report: UseReport = {
+      run: this.incarnation,
+      uses: uses.filter(each => each.totals.length > 0),
+    };
+    return report.uses.length === 0 ? undefined : JSON.stringify(report);
   }
 
   public hear(_instance: InstanceId, value: string): void {
-    const told = JSON.parse(value) as ToldUses;
-    for (const { service, totals } of told.uses) {
-      this.useOf(service).applyTotals(told.run, totals);
+    const report = JSON.parse(value) as UseReport;
+    for (const { service, totals } of report.uses) {
+      this.findOrCreateUse(service).applyTotals(report.run, totals);
     }
   }
 
-  private useOf(service: ServiceName): WorkspaceUse {
-    const known = this.uses.get(service);
-    if (known !== undefined) {
-      return known;
+  private findOrCreateUse(service: ServiceName): WorkspaceUse {
+    const existing = this.uses.get(service);
+    if (existing !== undefined) {
+      return existing;
     }
     const use = new WorkspaceUse((workspace, tokens) => {
       this.listener(service, workspace, tokens);
--- a/packages/instance/tests/upstreams/queueingDispatcher.test.ts
+++ b/packages/instance/tests/upstreams/queueingDispatcher.test.ts
@@ -12,7 +12,7 @@
 import { createConfiguration, parseRules } from '@zincring/rules';
 import { describe, expect, it } from 'vitest';
 
-import type { EngineOrders } from '../../src/upstreams/engineOrders.js';
+import type { EngineControlClient } from '../../src/upstreams/engineOrders.js';
 import type { ReplicaSender } from '../../src/upstreams/replicaSender.js';
 import type { Replica } from '../../src/upstreams/replicaTable.js';
 import type { UpstreamFrame, UpstreamWork } from '../../src/upstreams/upstreamMessages.js';
@@ -21,8 +21,8 @@
 import { Upstreams } from '../../src/upstreams/upstreams.js';
 import { upstreamSettings } from './upstreamSettings.js';
 
-const engines = 'minutes-llm' as ServiceName;
-const tickets = 'ticket-app' as ServiceName;
+const engineService = 'minutes-llm' as ServiceName;
+const plainService = 'ticket-app' as ServiceName;
 
 const rules = parseRules(`
 workspace utility rate=100 burst=100 # dana: pilot
@@ -33,7 +33,7 @@
 
 type Reaction = 'answer' | 'die' | 'die-after-data' | 'hang' | 'refuse-connection' | 'fail';
 
-/** Upstreams whose reactions a test sets, counted over all instances. */
+/** Upstreams with scripted reactions; records the work sent by all instances. */
 class FakeUpstreams implements ReplicaSender {
   public readonly sent: { readonly replica: UpstreamId; readonly call: CallId }[] = [];
   public react: (replica: Replica, work: UpstreamWork) => Reaction = () => 'answer';
@@ -67,7 +67,7 @@
   }
 }
 
-/** Several instances that share upstreams and hear each other's news at once. */
+/** Starts instances that share upstreams and receive each other's gossip immediately. */
 function startInstances(count: number, replicas = 4) {
   const timers = new ManualTimerService();
   const upstreams = new FakeUpstreams();
@@ -83,16 +83,16 @@
       orders: {
         readCacheEvents: async () => Promise.resolve(Ok({ events: [], next: 0 })),
         readLoad: async () => Promise.resolve(Ok({ cachedTokens: 0, running: 0, waiting: 0 })),
-      } as unknown as EngineOrders,
+      } as unknown as EngineControlClient,
       self,
       sender: upstreams,
       settings: upstreamSettings,
       spreadNews: async () => {
-        for (const teller of instance.participants) {
-          const value = teller.tell();
+        for (const participant of instance.participants) {
+          const value = participant.tell();
           for (const other of instances) {
             if (value !== undefined && other !== instance) {
-              other.participants.find(each => each.key === teller.key)?.hear(self, value);
+              other.participants.find(each => each.key === participant.key)?.hear(self, value);
             }
           }
         }
@@ -102,7 +102,7 @@
       zone: 'nelson' as AvailabilityZone,
     });
     instance.updateDirectory(
-      [engines, tickets].flatMap(service =>
+      [engineService, plainService].flatMap(service =>
         Array.from({ length: replicas }, (_, index) => ({
           address: '127.0.0.1:1',
           id: `${service}-${index + 1}`,
@@ -117,8 +117,8 @@
   return { instances, timers, upstreams };
 }
 
-function workFor(service: ServiceName, overrides: Partial<UpstreamWork> = {}): UpstreamWork {
-  const isEngine = service === engines;
+function createWork(service: ServiceName, overrides: Partial<UpstreamWork> = {}): UpstreamWork {
+  const isEngine = service === engineService;
   return {
     attainedTokens: 0,
     beforeSend: async () => Promise.resolve(Ok(undefined)),
@@ -143,8 +143,8 @@
   };
 }
 
-/** Runs work to its end while time moves on; gives a line for the end and the data. */
-async function run(
+/** Runs work to its end while time advances; returns the outcome and the received text. */
+async function runToEnd(
   fleet: ReturnType<typeof startInstances>,
   instance: number,
   work: UpstreamWork,
@@ -184,24 +184,24 @@
     await fleet.timers.advance(2_000);
     let reactions = 0;
     fleet.upstreams.react = () => (reactions++ === 0 ? each.reaction : 'answer');
-    const result = await run(fleet, 0, workFor(engines));
+    const result = await runToEnd(fleet, 0, createWork(engineService));
     expect(result.end).toBe(each.end);
     expect(fleet.upstreams.sent).toHaveLength(each.sends);
   });
 
-  it('refuses at once when there is no replica', async () => {
+  it('refuses immediately if there is no replica', async () => {
     const fleet = startInstances(1, 0);
-    expect(await run(fleet, 0, workFor(engines))).toMatchObject({
+    expect(await runToEnd(fleet, 0, createWork(engineService))).toMatchObject({
       end: 'upstream-unavailable',
       ran: 'no',
     });
   });
 
-  it('never says that nothing ran after an attempt that was sent', async () => {
+  it('does not report that nothing ran after an attempt that was sent', async () => {
     const fleet = startInstances(1, 1);
     await fleet.timers.advance(2_000);
     fleet.upstreams.react = () => 'fail';
-    const result = await run(fleet, 0, workFor(engines));
+    const result = await runToEnd(fleet, 0, createWork(engineService));
     expect(fleet.upstreams.sent).toHaveLength(1);
     expect(result.ran).not.toBe('no');
   });
@@ -213,8 +213,11 @@
     fleet.timers.after(5_000, () => {
       signal.abort();
     });
-    const work = workFor(engines, { signal: signal.signal, timeoutMilliseconds: 5_000 });
-    expect(await run(fleet, 0, work)).toMatchObject({ end: 'deadline-exceeded', ran: 'maybe' });
+    const work = createWork(engineService, { signal: signal.signal, timeoutMilliseconds: 5_000 });
+    expect(await runToEnd(fleet, 0, work)).toMatchObject({
+      end: 'deadline-exceeded',
+      ran: 'maybe',
+    });
     expect(fleet.timers.now()).toBeLessThanOrEqual(6_000);
   });
 });
@@ -230,15 +233,15 @@
     await fleet.timers.advance(2_000);
     let reactions = 0;
     fleet.upstreams.react = () => (reactions++ === 0 ? each.reaction : 'answer');
-    const result = await run(fleet, 0, workFor(tickets));
+    const result = await runToEnd(fleet, 0, createWork(plainService));
     expect(result).toMatchObject({ end: each.end, ran: each.ran });
     expect(fleet.upstreams.sent).toHaveLength(each.sends);
   });
 
-  it('says that nothing ran when every connection is refused', async () => {
+  it('reports that nothing ran if every connection is refused', async () => {
     const fleet = startInstances(1);
     fleet.upstreams.react = () => 'refuse-connection';
-    const result = await run(fleet, 0, workFor(tickets));
+    const result = await runToEnd(fleet, 0, createWork(plainService));
     expect(result).toMatchObject({ end: 'upstream-unavailable', ran: 'no' });
     expect(fleet.upstreams.sent).toHaveLength(0);
   });
@@ -247,14 +250,14 @@
 describe('poison requests', () => {
   const poisoned = { call: 'poison' as CallId };
 
-  it('stops a request after two upstreams although it is resent through every instance', async () => {
+  it('refuses a request after two crashes, even if resent through every instance', async () => {
     const fleet = startInstances(13);
     await fleet.timers.advance(2_000);
     fleet.upstreams.react = () => 'die';
     const ends: string[] = [];
     for (let resend = 0; resend < 26; resend++) {
       const call = `poison-${resend}` as CallId;
-      const result = await run(fleet, resend % 13, workFor(engines, { call }));
+      const result = await runToEnd(fleet, resend % 13, createWork(engineService, { call }));
       expect(result.ran).toBe('maybe');
       ends.push(result.end);
     }
@@ -262,43 +265,45 @@
     expect(ends.at(-1)).toBe('poison-request');
   });
 
-  it('leaves other requests alone', async () => {
+  it('does not refuse other requests', async () => {
     const fleet = startInstances(2);
     await fleet.timers.advance(2_000);
     fleet.upstreams.react = (_, work) => (work.call === poisoned.call ? 'die' : 'answer');
-    await run(fleet, 0, workFor(engines, poisoned));
-    const other = workFor(engines, {
+    await runToEnd(fleet, 0, createWork(engineService, poisoned));
+    const other = createWork(engineService, {
       payload: { maxTokens: 4, protocol: 'engine', segments: ['another question'] },
     });
-    expect(await run(fleet, 1, other)).toMatchObject({ end: 'done', text: 'whole' });
+    expect(await runToEnd(fleet, 1, other)).toMatchObject({ end: 'done', text: 'whole' });
   });
 
-  it('tries the request again after the quarantine', async () => {
+  it('runs the request again after the quarantine', async () => {
     const fleet = startInstances(2);
     await fleet.timers.advance(2_000);
     fleet.upstreams.react = () => 'die';
-    await run(fleet, 0, workFor(engines, poisoned));
-    await run(fleet, 1, workFor(engines, poisoned));
+    await runToEnd(fleet, 0, createWork(engineService, poisoned));
+    await runToEnd(fleet, 1, createWork(engineService, poisoned));
     fleet.upstreams.react = () => 'answer';
-    expect(await run(fleet, 1, workFor(engines))).toMatchObject({ end: 'poison-request' });
+    expect(await runToEnd(fleet, 1, createWork(engineService))).toMatchObject({
+      end: 'poison-request',
+    });
     await fleet.timers.advance(600_000);
-    expect(await run(fleet, 1, workFor(engines))).toMatchObject({ end: 'done' });
+    expect(await runToEnd(fleet, 1, createWork(engineService))).toMatchObject({ end: 'done' });
   });
 });
 
 describe('retries of all instances together', () => {
-  it('stay within the retry budget while a whole service fails', async () => {
+  it('stay within the retry budget while all replicas of a service fail', async () => {
     const fleet = startInstances(13);
     fleet.upstreams.react = () => 'fail';
     const requests = 650;
     const startedAt = fleet.timers.now();
     for (let request = 0; request < requests; request++) {
-      const work = workFor(engines, {
+      const work = createWork(engineService, {
         call: `call-${request}` as CallId,
         payload: { maxTokens: 1, protocol: 'engine', segments: [`question ${request}`] },
         timeoutMilliseconds: 1_000,
       });
-      await run(fleet, request % 13, work);
+      await runToEnd(fleet, request % 13, work);
     }
     const seconds = (fleet.timers.now() - startedAt) / 1_000;
     const { retryReservePerSecond, retryShare } = upstreamSettings;
--- a/packages/instance/tests/upstreams/upstreamSettings.ts
+++ b/packages/instance/tests/upstreams/upstreamSettings.ts
@@ -1,6 +1,6 @@
 import { parseSettings } from '../../src/lifecycle/settings.js';
 
-/** The settings of the upstreams slice with their defaults. */
+/** Default settings of the upstreams module. */
 export const upstreamSettings = parseSettings(
   JSON.stringify({
     callerAddress: '127.0.0.1:1',
--- a/packages/instance/tests/upstreams/workspaceUseGossip.test.ts
+++ b/packages/instance/tests/upstreams/workspaceUseGossip.test.ts
@@ -9,38 +9,38 @@
 const instance = 'entry-1' as InstanceId;
 
 describe(WorkspaceUseGossip, () => {
-  it('counts each token once, whether told once, twice or late', () => {
-    let heard = 0;
-    const teller = new WorkspaceUseGossip(() => undefined);
-    const listener = new WorkspaceUseGossip((_service, _workspace, tokens) => {
-      heard += tokens;
+  it('counts each token once, even if a report is duplicated or delayed', () => {
+    let receivedTokens = 0;
+    const sender = new WorkspaceUseGossip(() => undefined);
+    const receiver = new WorkspaceUseGossip((_service, _workspace, tokens) => {
+      receivedTokens += tokens;
     });
-    const told = [10, 20, 30].map(tokens => {
-      teller.add(service, workspace, tokens);
-      return teller.tell()!;
+    const messages = [10, 20, 30].map(tokens => {
+      sender.add(service, workspace, tokens);
+      return sender.tell()!;
     });
-    for (const value of [told[0]!, told[2]!, told[1]!, told[2]!]) {
-      listener.hear(instance, value);
+    for (const value of [messages[0]!, messages[2]!, messages[1]!, messages[2]!]) {
+      receiver.hear(instance, value);
     }
-    expect(heard).toBe(50);
+    expect(receivedTokens).toBe(50);
   });
 
-  it('counts a new run of an instance from its own start', () => {
-    let heard = 0;
-    const listener = new WorkspaceUseGossip((_service, _workspace, tokens) => {
-      heard += tokens;
+  it('counts each incarnation of an instance from its own baseline', () => {
+    let receivedTokens = 0;
+    const receiver = new WorkspaceUseGossip((_service, _workspace, tokens) => {
+      receivedTokens += tokens;
     });
-    for (let run = 0; run < 2; run++) {
-      const teller = new WorkspaceUseGossip(() => undefined);
-      teller.add(service, workspace, 1);
-      listener.hear(instance, teller.tell()!);
-      teller.add(service, workspace, 5);
-      listener.hear(instance, teller.tell()!);
+    for (let incarnation = 0; incarnation < 2; incarnation++) {
+      const sender = new WorkspaceUseGossip(() => undefined);
+      sender.add(service, workspace, 1);
+      receiver.hear(instance, sender.tell()!);
+      sender.add(service, workspace, 5);
+      receiver.hear(instance, sender.tell()!);
     }
-    expect(heard).toBe(10);
+    expect(receivedTokens).toBe(10);
   });
 
-  it('tells nothing before anything was served', () => {
+  it('reports nothing before any tokens were served', () => {
     expect(new WorkspaceUseGossip(() => undefined).tell()).toBeUndefined();
   });
 });
