--- a/packages/instance/src/callers/serviceRoutes.ts
+++ b/packages/instance/src/callers/serviceRoutes.ts
@@ -68,7 +68,7 @@
 
   /** Handles one request. */
   public async handle(request: ServiceRouteRequest, response: ServerResponse): Promise<void> {
-    const { idempotencyKey: idempotencyKey, rule } = request;
+    const { idempotencyKey, rule } = request;
     if (idempotencyKey !== undefined && !isIdentifier(idempotencyKey)) {
       throw new ZincringError('bad-request', { detail: 'idempotency-key: not an identifier' });
     }
--- a/packages/instance/src/configuration/configurationGossip.ts
+++ b/packages/instance/src/configuration/configurationGossip.ts
@@ -20,14 +20,14 @@
 
   public constructor(private readonly follower: ConfigurationFollower) {}
 
-  public tell(): string {
+  public createUpdate(): string {
     const { newestVersion, storeAgeMilliseconds, version } = this.follower;
     const storeAge =
       storeAgeMilliseconds === undefined ? undefined : Math.ceil(storeAgeMilliseconds);
     return JSON.stringify({ newest: newestVersion, storeAge, version });
   }
 
-  public hear(instance: InstanceId, value: string): void {
+  public applyUpdate(instance: InstanceId, value: string): void {
     const parsed = gossipSchema.safeParse(parseJson(value));
     if (parsed.success) {
       this.follower.recordPeerReport({
--- a/packages/instance/src/configuration/followConfiguration.ts
+++ b/packages/instance/src/configuration/createConfigurationFollower.ts
@@ -23,7 +23,7 @@
 }
 
 /** Creates the configuration follower of an instance without starting it. */
-export function followConfiguration(
+export function createConfigurationFollower(
   options: CreateConfigurationFollowerOptions,
 ): ConfigurationFollower {
   const { logger, membership, metrics, platform, settings, timers } = options;
--- a/packages/instance/src/lifecycle/instance.ts
+++ b/packages/instance/src/lifecycle/instance.ts
@@ -22,7 +22,7 @@
 
 import type { ConfigurationFollower } from '../configuration/configurationFollower.js';
 import type { UpstreamDispatcher } from '../upstreams/upstreamMessages.js';
-import type { ShardHolder } from '../peers/fleetCensus.js';
+import type { ShardHolder } from '../peers/peerGoneProgramFinder.js';
 import type { Settings } from './settings.js';
 
 import { CallerRouter } from '../callers/callerRouter.js';
@@ -30,11 +30,11 @@
 import { ProgramRoutes } from '../callers/programRoutes.js';
 import { ServiceRoutes } from '../callers/serviceRoutes.js';
 import { ConfigurationGossip } from '../configuration/configurationGossip.js';
-import { followConfiguration } from '../configuration/followConfiguration.js';
+import { createConfigurationFollower } from '../configuration/createConfigurationFollower.js';
 import { KeyWatch } from '../configuration/keyWatch.js';
 import { FleetAdmission } from '../limits/fleetAdmission.js';
 import { InstanceStatus } from '../operators/instanceStatus.js';
-import { FleetCensus } from '../peers/fleetCensus.js';
+import { PeerGoneProgramFinder } from '../peers/peerGoneProgramFinder.js';
 import { Heartbeats } from '../peers/heartbeats.js';
 import { PeerClients } from '../peers/peerClients.js';
 import { PeerServer } from '../peers/peerServer.js';
@@ -43,7 +43,7 @@
 import { keepNoCopies } from '../programs/copyKeeper.js';
 import { OpenProgramCounts } from '../programs/openProgramCounts.js';
 import { ProgramHome } from '../programs/programHome.js';
-import { HttpEngineOrders } from '../upstreams/engineOrders.js';
+import { HttpEngineControlClient } from '../upstreams/engineControlClient.js';
 import { HttpReplicaSender } from '../upstreams/replicaSender.js';
 import { Upstreams } from '../upstreams/upstreams.js';
 import { splitAddress } from '../util/splitAddress.js';
@@ -102,7 +102,10 @@
       suspectMilliseconds: settings.suspectMilliseconds,
       timers,
     });
-    this.configuration = followConfiguration({ ...dependencies, membership: this.membership });
+    this.configuration = createConfigurationFollower({
+      ...dependencies,
+      membership: this.membership,
+    });
     this.keyWatch = new KeyWatch({
       follower: this.configuration,
       maximumListeners: settings.maximumKeyListeners,
@@ -191,7 +194,7 @@
       {
         announceLeaving: () => {
           this.membership.leave();
-          this.heartbeats.beat();
+          this.heartbeats.sendHeartbeats();
         },
         close: () => {
           metrics.timing('drain.duration', timers.now() - startedAt);
@@ -267,7 +270,7 @@
       configuration: () => this.configuration.current,
       countElsewhere: workspace => this.openPrograms.countElsewhere(workspace),
       dispatcher: this.upstreams.dispatcher,
-      endListener: this.upstreams.memory,
+      endListener: this.upstreams.memoryReleaser,
       keyWatch: this.keyWatch,
       log: this.log,
       logger,
@@ -309,7 +312,7 @@
       intervalMilliseconds: settings.heartbeatMilliseconds,
       logger,
       membership: this.membership,
-      onDirectory: entries => {
+      onDirectoryRead: entries => {
         this.upstreams.updateDirectory(entries);
         this.operatorStatus.updateDirectory(entries);
       },
@@ -317,7 +320,7 @@
         this.locations,
         this.openPrograms,
         new ConfigurationGossip(this.configuration),
-        ...this.upstreams.participants,
+        ...this.upstreams.gossipParticipants,
       ],
       timers,
     });
@@ -366,7 +369,7 @@
       address: settings.peerAddress,
       clients: this.clients,
       createIncarnation: () => createIncarnation(settings.instance),
-      firstLoan: randomInt(1, MAXIMUM_FIRST_LOAN_NUMBER),
+      firstLoanId: randomInt(1, MAXIMUM_FIRST_LOAN_NUMBER),
       instance: settings.instance,
       membership: this.membership,
       settings: settings.limits,
@@ -377,7 +380,7 @@
   private createUpstreams(): Upstreams {
     const { logger, metrics, settings, timers } = this.dependencies;
     return new Upstreams({
-      census: new FleetCensus({
+      goneProgramFinder: new PeerGoneProgramFinder({
         clients: this.clients,
         findGoneHere: programs => this.home.findGone(programs),
         holderOf: shard => this.findHolder(shard),
@@ -388,14 +391,14 @@
       instances: () => new Set([settings.instance, ...this.membership.alive.map(peer => peer.id)]),
       logger,
       metrics,
-      orders: new HttpEngineOrders(),
+      engineControl: new HttpEngineControlClient(),
       self: settings.instance,
       sender: new HttpReplicaSender({
         stallMilliseconds: settings.upstreams.stallMilliseconds,
         timers,
       }),
       settings: settings.upstreams,
-      spreadNews: async () => this.heartbeats.spread(),
+      publishGossip: async () => this.heartbeats.exchangeWithPeers(),
       timers,
       zone: settings.zone,
     });
--- a/packages/instance/src/limits/fleetAdmission.ts
+++ b/packages/instance/src/limits/fleetAdmission.ts
@@ -50,7 +50,7 @@
   readonly metrics: Metrics;
   readonly createIncarnation: () => IncarnationId;
   /** Number of the first loan; must differ between the processes of an instance. */
-  readonly firstLoan: number;
+  readonly firstLoanId: number;
 }
 
 const TICK_INTERVAL_MILLISECONDS = 1_000;
@@ -126,7 +126,7 @@
       address,
       clients,
       createIncarnation,
-      firstLoan,
+      firstLoanId,
       instance,
       membership,
       settings,
@@ -134,7 +134,7 @@
     } = this.options;
     return new EscrowedLimiter({
       borrower: borrowerName({ address, incarnation: createIncarnation(), instance }),
-      firstLoanId: firstLoan,
+      firstLoanId,
       homeOf: workspace => {
         const shard = shardOf(workspace, settings.seatCount);
         const home = preferredHolder(shard, membership.eligible());
--- a/packages/instance/src/operators/instanceStatus.ts
+++ b/packages/instance/src/operators/instanceStatus.ts
@@ -7,7 +7,7 @@
 import type { ConfigurationFollower } from '../configuration/configurationFollower.js';
 import type { Settings } from '../lifecycle/settings.js';
 import type { ProgramHome } from '../programs/programHome.js';
-import type { ReplicaStatus } from '../upstreams/serviceLanes.js';
+import type { ReplicaStatus } from '../upstreams/serviceQueues.js';
 import type {
   InstanceReport,
   LimitReport,
--- a/packages/instance/src/peers/gossipParticipant.ts
+++ b/packages/instance/src/peers/gossipParticipant.ts
@@ -5,7 +5,7 @@
   /** Key of the gossip item, the same on every instance. */
   readonly key: string;
   /** Returns the update of this instance as text; `undefined` when there is nothing to send. */
-  tell(): string | undefined;
+  createUpdate(): string | undefined;
   /** Applies an update from another instance. */
-  hear(instance: InstanceId, value: string): void;
+  applyUpdate(instance: InstanceId, value: string): void;
 }
--- a/packages/instance/src/peers/heartbeats.ts
+++ b/packages/instance/src/peers/heartbeats.ts
@@ -37,7 +37,7 @@
   readonly intervalMilliseconds: number;
   readonly describeSelf: () => SelfDescription;
   /** Called with the platform's list of instances each time it has been read. */
-  readonly onDirectory: (entries: Parameters<Membership['updateFromDirectory']>[0]) => void;
+  readonly onDirectoryRead: (entries: Parameters<Membership['updateFromDirectory']>[0]) => void;
 }
 
 /** Exchanges the state of this instance and of its peers by periodic heartbeats. */
@@ -51,10 +51,10 @@
     const { intervalMilliseconds, timers } = this.options;
     this.subscriptions.push(
       timers.every(intervalMilliseconds, () => {
-        this.beat();
+        this.sendHeartbeats();
       }),
     );
-    this.beat();
+    this.sendHeartbeats();
   }
 
   /** Stops sending heartbeats. */
@@ -65,7 +65,7 @@
   }
 
   /** Sends a heartbeat to every peer immediately, without waiting for the responses. */
-  public beat(): void {
+  public sendHeartbeats(): void {
     this.readDirectory().catch((failure: unknown) => {
       this.options.logger.warn(
         { failure: failureText(failure) },
@@ -83,7 +83,7 @@
   }
 
   /** Sends a heartbeat to every peer; resolves once each has answered or failed. */
-  public async spread(): Promise<void> {
+  public async exchangeWithPeers(): Promise<void> {
     const { known } = this.options.membership;
     await Promise.allSettled(known.map(async peer => this.exchangeWith(peer.address)));
   }
@@ -98,7 +98,7 @@
     const entries = await this.options.directory.list();
     if (entries.ok) {
       this.options.membership.updateFromDirectory(entries.val);
-      this.options.onDirectory(entries.val);
+      this.options.onDirectoryRead(entries.val);
     }
   }
 
@@ -123,7 +123,7 @@
       incarnation: self.incarnation,
       instance: self.id,
       items: this.options.participants.flatMap(participant => {
-        const value = participant.tell();
+        const value = participant.createUpdate();
         return value === undefined
           ? []
           : [create(GossipItemSchema, { key: participant.key, value })];
@@ -150,7 +150,7 @@
     for (const item of message.items) {
       this.options.participants
         .find(participant => participant.key === item.key)
-        ?.hear(id, item.value);
+        ?.applyUpdate(id, item.value);
     }
   }
 }
--- a/packages/instance/src/peers/fleetCensus.ts
+++ b/packages/instance/src/peers/peerGoneProgramFinder.ts
@@ -2,11 +2,11 @@
 
 import { shardOf } from '@zincring/coordination';
 
-import type { GoneProgram, ProgramCensus } from '../upstreams/engineSweeper.js';
+import type { GoneProgram, GoneProgramFinder } from '../upstreams/engineSweeper.js';
 import type { PeerClients } from './peerClients.js';
 
 /** Options of a lookup of removed programs at their homes. */
-export interface GoneProgramFinderOptions {
+export interface PeerGoneProgramFinderOptions {
   readonly clients: PeerClients;
   readonly shardCount: number;
   readonly self: InstanceId;
@@ -25,8 +25,8 @@
 const FIND_GONE_TIMEOUT_MILLISECONDS = 2_000;
 
 /** Asks each home, in one request, which of the given programs have ended or are unknown there. */
-export class FleetCensus implements ProgramCensus {
-  public constructor(private readonly options: GoneProgramFinderOptions) {}
+export class PeerGoneProgramFinder implements GoneProgramFinder {
+  public constructor(private readonly options: PeerGoneProgramFinderOptions) {}
 
   public async findGone(programs: readonly ProgramId[]): Promise<readonly GoneProgram[]> {
     const byAddress = this.groupByHomeAddress(programs);
--- a/packages/instance/src/peers/shardLocations.ts
+++ b/packages/instance/src/peers/shardLocations.ts
@@ -10,11 +10,11 @@
 
   public constructor(private readonly heldShards: () => readonly ShardId[]) {}
 
-  public tell(): string {
+  public createUpdate(): string {
     return JSON.stringify(this.heldShards());
   }
 
-  public hear(instance: InstanceId, value: string): void {
+  public applyUpdate(instance: InstanceId, value: string): void {
     this.setShards(instance, JSON.parse(value) as ShardId[]);
   }
 
--- a/packages/instance/src/programs/openProgramCounts.ts
+++ b/packages/instance/src/programs/openProgramCounts.ts
@@ -29,11 +29,11 @@
 
   public constructor(private readonly options: OpenProgramCountsOptions) {}
 
-  public tell(): string {
+  public createUpdate(): string {
     return JSON.stringify([...this.options.countHere()]);
   }
 
-  public hear(instance: InstanceId, value: string): void {
+  public applyUpdate(instance: InstanceId, value: string): void {
     const counts = new Map(JSON.parse(value) as [string, number][]);
     this.countsByInstance.set(instance, { counts, receivedAt: this.options.timers.now() });
   }
--- a/packages/instance/src/upstreams/engineOrders.ts
+++ b/packages/instance/src/upstreams/engineControlClient.ts
@@ -70,7 +70,7 @@
 });
 
 /** Calls the HTTP interface of the engine stand-in. */
-export class HttpEngineOrders implements EngineControlClient {
+export class HttpEngineControlClient implements EngineControlClient {
   public async release(
     replica: Replica,
     request: ReleaseRequest,
--- a/packages/instance/src/upstreams/engineMemoryReleaser.ts
+++ b/packages/instance/src/upstreams/engineMemoryReleaser.ts
@@ -11,12 +11,12 @@
 import { failureText } from '@zincring/core';
 
 import type { ProgramEndListener } from '../programs/programEndListener.js';
-import type { EngineControlClient } from './engineOrders.js';
+import type { EngineControlClient } from './engineControlClient.js';
 import type { ReplicaTable } from './replicaTable.js';
 
 /** Dependencies and settings of an {@link EngineMemoryReleaser}. */
 export interface EngineMemoryReleaserOptions {
-  readonly orders: EngineControlClient;
+  readonly engineControl: EngineControlClient;
   readonly replicas: ReplicaTable;
   readonly timers: TimerService;
   readonly logger: Logger;
@@ -131,7 +131,7 @@
       return;
     }
     const { fence, program } = release;
-    const outcome = await this.options.orders.release(replica, { fence, program });
+    const outcome = await this.options.engineControl.release(replica, { fence, program });
     if (outcome.err) {
       this.options.logger.debug(
         { engine: replica.id, program },
--- a/packages/instance/src/upstreams/engineReportPoller.ts
+++ b/packages/instance/src/upstreams/engineReportPoller.ts
@@ -3,12 +3,12 @@
 
 import { failureText } from '@zincring/core';
 
-import type { EngineControlClient } from './engineOrders.js';
+import type { EngineControlClient } from './engineControlClient.js';
 import type { Replica } from './replicaTable.js';
 
 /** Dependencies and settings of an {@link EngineReportPoller} for the engines of one service. */
 export interface EngineReportPollerOptions {
-  readonly orders: EngineControlClient;
+  readonly engineControl: EngineControlClient;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly scheduler: Pick<ServiceScheduler<ScheduledItem>, 'observeCacheChange' | 'observeLoad'>;
@@ -60,15 +60,18 @@
   }
 
   private async poll(replica: Replica): Promise<void> {
-    const { lagMilliseconds, orders, scheduler, timers } = this.options;
-    const load = await orders.readLoad(replica);
+    const { lagMilliseconds, engineControl, scheduler, timers } = this.options;
+    const load = await engineControl.readLoad(replica);
     if (load.ok) {
       const { running, waiting } = load.val;
       const now = timers.now();
       const measuredAt = now - lagMilliseconds;
       scheduler.observeLoad(replica.id, { measuredAt, running, waiting }, now);
     }
-    const events = await orders.readCacheEvents(replica, this.eventCursors.get(replica.id) ?? 0);
+    const events = await engineControl.readCacheEvents(
+      replica,
+      this.eventCursors.get(replica.id) ?? 0,
+    );
     if (events.err) {
       return;
     }
--- a/packages/instance/src/upstreams/engineSweeper.ts
+++ b/packages/instance/src/upstreams/engineSweeper.ts
@@ -3,7 +3,7 @@
 import { failureText } from '@zincring/core';
 
 import type { EngineMemoryReleaser } from './engineMemoryReleaser.js';
-import type { EngineControlClient } from './engineOrders.js';
+import type { EngineControlClient } from './engineControlClient.js';
 import type { Replica, ReplicaTable } from './replicaTable.js';
 
 /** Program that has ended or does not exist, as confirmed by the holder of its shard. */
@@ -14,17 +14,17 @@
 }
 
 /** Finds out from the homes of programs which of them no longer exist. */
-export interface ProgramCensus {
+export interface GoneProgramFinder {
   /** Returns those of the programs that have ended or that their home does not know. */
   findGone(programs: readonly ProgramId[]): Promise<readonly GoneProgram[]>;
 }
 
 /** Dependencies and settings of an {@link EngineSweeper}. */
 export interface EngineSweeperOptions {
-  readonly orders: EngineControlClient;
+  readonly engineControl: EngineControlClient;
   readonly replicas: ReplicaTable;
   readonly memoryReleaser: EngineMemoryReleaser;
-  readonly goneProgramFinder: ProgramCensus;
+  readonly goneProgramFinder: GoneProgramFinder;
   readonly timers: TimerService;
   readonly logger: Logger;
   readonly intervalMilliseconds: number;
@@ -68,7 +68,7 @@
   }
 
   private async sweepEngine(replica: Replica): Promise<void> {
-    const heldPrograms = await this.options.orders.listHeldPrograms(replica);
+    const heldPrograms = await this.options.engineControl.listHeldPrograms(replica);
     if (heldPrograms.err || heldPrograms.val.length === 0) {
       return;
     }
--- a/packages/instance/src/upstreams/poisonGuard.ts
+++ b/packages/instance/src/upstreams/poisonGuard.ts
@@ -12,7 +12,7 @@
 export interface PoisonGuardOptions {
   readonly timers: TimerService;
   /** Sends this instance's gossip to the others immediately; settles once they have answered. */
-  readonly spreadNews: () => Promise<void>;
+  readonly publishGossip: () => Promise<void>;
 }
 
 /** Maximum number of crashes reported in one heartbeat. */
@@ -51,7 +51,7 @@
       upstream,
     };
     this.quarantine.recordCrash(crash, this.options.timers.now());
-    const published = this.options.spreadNews().catch(() => undefined);
+    const published = this.options.publishGossip().catch(() => undefined);
     const timeoutController = new AbortController();
     await Promise.race([
       published,
@@ -60,13 +60,13 @@
     timeoutController.abort();
   }
 
-  public tell(): string | undefined {
+  public createUpdate(): string | undefined {
     const now = this.options.timers.now();
     const crashes = this.quarantine.listRecentCrashes(now, MAXIMUM_CRASHES_PER_HEARTBEAT);
     return crashes.length === 0 ? undefined : JSON.stringify(crashes);
   }
 
-  public hear(_instance: InstanceId, value: string): void {
+  public applyUpdate(_instance: InstanceId, value: string): void {
     const now = this.options.timers.now();
     for (const crash of JSON.parse(value) as readonly UpstreamCrash[]) {
       this.quarantine.recordCrash(crash, now);
--- a/packages/instance/src/upstreams/serviceLanes.ts
+++ b/packages/instance/src/upstreams/serviceQueues.ts
@@ -16,7 +16,7 @@
   WindowedServiceScheduler,
 } from '@zincring/scheduling';
 
-import type { EngineControlClient } from './engineOrders.js';
+import type { EngineControlClient } from './engineControlClient.js';
 import type { Replica, ReplicaTable } from './replicaTable.js';
 import type { QueuedWork } from './serviceQueue.js';
 
@@ -73,7 +73,7 @@
   readonly zone: AvailabilityZone;
   readonly self: InstanceId;
   readonly replicas: ReplicaTable;
-  readonly orders: EngineControlClient;
+  readonly engineControl: EngineControlClient;
   readonly configuration: () => Configuration | undefined;
   /** Returns the number of instances that share the replicas. */
   readonly instanceCount: () => number;
@@ -214,12 +214,12 @@
     if (this.ruleOf(service)?.protocol !== 'engine') {
       return undefined;
     }
-    const { logger, orders, settings, timers } = this.options;
+    const { logger, engineControl, settings, timers } = this.options;
     return new EngineReportPoller({
       intervalMilliseconds: settings.reportMilliseconds,
       lagMilliseconds: settings.reportLagMilliseconds,
       logger,
-      orders,
+      engineControl,
       replicas,
       scheduler,
       timers,
--- a/packages/instance/src/upstreams/upstreams.ts
+++ b/packages/instance/src/upstreams/upstreams.ts
@@ -5,10 +5,10 @@
 import { preferredHolder, shardOf } from '@zincring/coordination';
 
 import type { GossipParticipant } from '../peers/gossipParticipant.js';
-import type { EngineControlClient } from './engineOrders.js';
-import type { ProgramCensus } from './engineSweeper.js';
+import type { EngineControlClient } from './engineControlClient.js';
+import type { GoneProgramFinder } from './engineSweeper.js';
 import type { ReplicaSender } from './replicaSender.js';
-import type { PolicySettings, ReplicaStatus } from './serviceLanes.js';
+import type { PolicySettings, ReplicaStatus } from './serviceQueues.js';
 import type { UpstreamDispatcher } from './upstreamMessages.js';
 
 import { EngineMemoryReleaser } from './engineMemoryReleaser.js';
@@ -16,7 +16,7 @@
 import { PoisonGuard } from './poisonGuard.js';
 import { QueueingDispatcher } from './queueingDispatcher.js';
 import { ReplicaTable } from './replicaTable.js';
-import { ServiceQueues } from './serviceLanes.js';
+import { ServiceQueues } from './serviceQueues.js';
 import { WorkspaceUseGossip } from './workspaceUseGossip.js';
 
 /** Settings of the upstreams module. */
@@ -38,13 +38,13 @@
   readonly zone: AvailabilityZone;
   readonly self: InstanceId;
   readonly sender: ReplicaSender;
-  readonly orders: EngineControlClient;
-  readonly census: ProgramCensus;
+  readonly engineControl: EngineControlClient;
+  readonly goneProgramFinder: GoneProgramFinder;
   readonly configuration: () => Configuration | undefined;
   /** Returns the names of the instances that are alive, including this one. */
   readonly instances: () => ReadonlySet<string>;
   /** Sends this instance's gossip to the others immediately; settles once they have answered. */
-  readonly spreadNews: () => Promise<void>;
+  readonly publishGossip: () => Promise<void>;
 }
 
 /** Number of shards by which engines are assigned to the instances that sweep them. */
@@ -53,16 +53,16 @@
 /** Creates and connects the components that queue calls and send them to replicas. */
 export class Upstreams {
   public readonly dispatcher: UpstreamDispatcher;
-  public readonly memory: EngineMemoryReleaser;
-  public readonly participants: readonly GossipParticipant[];
+  public readonly memoryReleaser: EngineMemoryReleaser;
+  public readonly gossipParticipants: readonly GossipParticipant[];
   private readonly replicas = new ReplicaTable();
   private readonly serviceQueues: ServiceQueues;
   private readonly sweeper: EngineSweeper;
 
   public constructor(private readonly options: UpstreamsOptions) {
-    const { metrics, orders, sender, settings, spreadNews, timers } = options;
+    const { metrics, engineControl, sender, settings, publishGossip, timers } = options;
     const { replicas } = this;
-    const poisonGuard = new PoisonGuard({ spreadNews, timers });
+    const poisonGuard = new PoisonGuard({ publishGossip, timers });
     this.serviceQueues = new ServiceQueues({
       ...options,
       instanceCount: () => options.instances().size,
@@ -71,21 +71,21 @@
     const workspaceUseGossip = new WorkspaceUseGossip((service, workspace, tokens) => {
       this.serviceQueues.observeRemoteUse(service, workspace, tokens);
     });
-    this.participants = [poisonGuard, workspaceUseGossip];
-    this.memory = new EngineMemoryReleaser({
+    this.gossipParticipants = [poisonGuard, workspaceUseGossip];
+    this.memoryReleaser = new EngineMemoryReleaser({
       ...options,
       maximumPendingReleases: settings.maximumReleases,
       replicas,
       retryMilliseconds: settings.releaseRetryMilliseconds,
     });
-    this.sweeper = this.createSweeper(orders);
+    this.sweeper = this.createSweeper(engineControl);
     this.dispatcher = new QueueingDispatcher({
       recordUse: (service, workspace, tokens) => {
         workspaceUseGossip.add(service, workspace, tokens);
       },
       poisonGuard,
       queueOf: service => this.serviceQueues.queueOf(service),
-      memoryReleaser: this.memory,
+      memoryReleaser: this.memoryReleaser,
       metrics,
       retryBudgetOf: service => this.serviceQueues.retryBudgetOf(service),
       sender,
@@ -95,13 +95,13 @@
 
   /** Starts retrying memory releases and sweeping engines. */
   public start(): void {
-    this.memory.start();
+    this.memoryReleaser.start();
     this.sweeper.start();
   }
 
   /** Stops the retries, the sweep and the polling of engines. */
   public stop(): void {
-    this.memory.stop();
+    this.memoryReleaser.stop();
     this.sweeper.stop();
     this.serviceQueues.stop();
   }
@@ -122,17 +122,18 @@
     return this.serviceQueues.describe();
   }
 
-  private createSweeper(orders: EngineControlClient): EngineSweeper {
-    const { census, configuration, instances, logger, self, settings, timers } = this.options;
+  private createSweeper(engineControl: EngineControlClient): EngineSweeper {
+    const { goneProgramFinder, configuration, instances, logger, self, settings, timers } =
+      this.options;
     return new EngineSweeper({
-      goneProgramFinder: census,
+      goneProgramFinder,
       intervalMilliseconds: settings.sweepMilliseconds,
       isEngine: replica => configuration()?.services.get(replica.service)?.protocol === 'engine',
       isResponsible: replica =>
         preferredHolder(shardOf(replica.id, SWEEP_SHARD_COUNT), instances()) === self,
       logger,
-      memoryReleaser: this.memory,
-      orders,
+      memoryReleaser: this.memoryReleaser,
+      engineControl,
       replicas: this.replicas,
       timers,
     });
--- a/packages/instance/src/upstreams/workspaceUseGossip.ts
+++ b/packages/instance/src/upstreams/workspaceUseGossip.ts
@@ -46,7 +46,7 @@
     this.findOrCreateUse(service).add(workspace, tokens);
   }
 
-  public tell(): string | undefined {
+  public createUpdate(): string | undefined {
     const uses = [...this.uses].map(([service, use]) => ({
       service,
       totals: use.listRecentTotals(MAXIMUM_WORKSPACES_PER_HEARTBEAT),
@@ -58,7 +58,7 @@
     return report.uses.length === 0 ? undefined : JSON.stringify(report);
   }
 
-  public hear(_instance: InstanceId, value: string): void {
+  public applyUpdate(_instance: InstanceId, value: string): void {
     const report = JSON.parse(value) as UseReport;
     for (const { service, totals } of report.uses) {
       this.findOrCreateUse(service).applyTotals(report.run, totals);
--- a/packages/instance/tests/configuration/configurationFollower.test.ts
+++ b/packages/instance/tests/configuration/configurationFollower.test.ts
@@ -78,7 +78,7 @@
     const { follower, id } = fleet.instances[0]!;
     const gossip = new ConfigurationGossip(follower);
     for (const text of ['', '{', 'null', '[]', '{"version":"9"}', '{"newest":-1,"version":2}']) {
-      gossip.hear(id, text);
+      gossip.applyUpdate(id, text);
     }
     expect([follower.newestVersion, follower.isReady]).toEqual([1, true]);
   });
--- a/packages/instance/tests/configuration/fleetModel.ts
+++ b/packages/instance/tests/configuration/fleetModel.ts
@@ -68,10 +68,10 @@
 
   /** Exchanges heartbeats with a peer. */
   public exchange(other: ModelInstance): void {
-    const request = this.gossip.tell();
-    const answer = other.gossip.tell();
-    other.gossip.hear(this.id, request);
-    this.gossip.hear(other.id, answer);
+    const request = this.gossip.createUpdate();
+    const answer = other.gossip.createUpdate();
+    other.gossip.applyUpdate(this.id, request);
+    this.gossip.applyUpdate(other.id, answer);
   }
 
   private createFollower(): ConfigurationFollower {
--- a/packages/instance/tests/programs/openProgramCounts.test.ts
+++ b/packages/instance/tests/programs/openProgramCounts.test.ts
@@ -16,10 +16,10 @@
       timers,
     });
   const counts = createCounts(1);
-  counts.hear('entry-2' as InstanceId, createCounts(2).tell());
-  counts.hear('entry-2' as InstanceId, createCounts(3).tell());
+  counts.applyUpdate('entry-2' as InstanceId, createCounts(2).createUpdate());
+  counts.applyUpdate('entry-2' as InstanceId, createCounts(3).createUpdate());
   timers.skip(3_000);
-  counts.hear('entry-3' as InstanceId, createCounts(4).tell());
+  counts.applyUpdate('entry-3' as InstanceId, createCounts(4).createUpdate());
   expect(counts.countElsewhere(utility)).toBe(7);
   expect(counts.countElsewhere('other' as WorkspaceName)).toBe(0);
   timers.skip(3_000);
--- a/packages/instance/tests/upstreams/engineMemoryReleaser.test.ts
+++ b/packages/instance/tests/upstreams/engineMemoryReleaser.test.ts
@@ -8,7 +8,7 @@
   EngineControlClient,
   ReleaseOutcome,
   ReleaseRequest,
-} from '../../src/upstreams/engineOrders.js';
+} from '../../src/upstreams/engineControlClient.js';
 import type { GoneProgram } from '../../src/upstreams/engineSweeper.js';
 import type { Replica } from '../../src/upstreams/replicaTable.js';
 
@@ -81,7 +81,7 @@
     logger: silentLogger,
     maximumPendingReleases,
     metrics: discardingMetrics,
-    orders: engines,
+    engineControl: engines,
     replicas,
     retryMilliseconds: RETRY_MILLISECONDS,
     timers,
@@ -168,7 +168,7 @@
       isResponsible,
       logger: silentLogger,
       memoryReleaser: fixture.memoryReleaser,
-      orders: fixture.engines,
+      engineControl: fixture.engines,
       replicas: fixture.replicas,
       timers: fixture.timers,
     });
--- a/packages/instance/tests/upstreams/queueingDispatcher.test.ts
+++ b/packages/instance/tests/upstreams/queueingDispatcher.test.ts
@@ -12,7 +12,7 @@
 import { createConfiguration, parseRules } from '@zincring/rules';
 import { describe, expect, it } from 'vitest';
 
-import type { EngineControlClient } from '../../src/upstreams/engineOrders.js';
+import type { EngineControlClient } from '../../src/upstreams/engineControlClient.js';
 import type { ReplicaSender } from '../../src/upstreams/replicaSender.js';
 import type { Replica } from '../../src/upstreams/replicaTable.js';
 import type { UpstreamFrame, UpstreamWork } from '../../src/upstreams/upstreamMessages.js';
@@ -75,24 +75,26 @@
   const instances: Upstreams[] = [];
   for (const self of names) {
     const instance: Upstreams = new Upstreams({
-      census: { findGone: async () => Promise.resolve([]) },
+      goneProgramFinder: { findGone: async () => Promise.resolve([]) },
       configuration: () => configuration,
       instances: () => new Set(names),
       logger: silentLogger,
       metrics: discardingMetrics,
-      orders: {
+      engineControl: {
         readCacheEvents: async () => Promise.resolve(Ok({ events: [], next: 0 })),
         readLoad: async () => Promise.resolve(Ok({ cachedTokens: 0, running: 0, waiting: 0 })),
       } as unknown as EngineControlClient,
       self,
       sender: upstreams,
       settings: upstreamSettings,
-      spreadNews: async () => {
-        for (const participant of instance.participants) {
-          const value = participant.tell();
+      publishGossip: async () => {
+        for (const participant of instance.gossipParticipants) {
+          const value = participant.createUpdate();
           for (const other of instances) {
             if (value !== undefined && other !== instance) {
-              other.participants.find(each => each.key === participant.key)?.hear(self, value);
+              other.gossipParticipants
+                .find(each => each.key === participant.key)
+                ?.applyUpdate(self, value);
             }
           }
         }
--- a/packages/instance/tests/upstreams/workspaceUseGossip.test.ts
+++ b/packages/instance/tests/upstreams/workspaceUseGossip.test.ts
@@ -17,10 +17,10 @@
     });
     const messages = [10, 20, 30].map(tokens => {
       sender.add(service, workspace, tokens);
-      return sender.tell()!;
+      return sender.createUpdate()!;
     });
     for (const value of [messages[0]!, messages[2]!, messages[1]!, messages[2]!]) {
-      receiver.hear(instance, value);
+      receiver.applyUpdate(instance, value);
     }
     expect(receivedTokens).toBe(50);
   });
@@ -33,14 +33,14 @@
     for (let incarnation = 0; incarnation < 2; incarnation++) {
       const sender = new WorkspaceUseGossip(() => undefined);
       sender.add(service, workspace, 1);
-      receiver.hear(instance, sender.tell()!);
+      receiver.applyUpdate(instance, sender.createUpdate()!);
       sender.add(service, workspace, 5);
-      receiver.hear(instance, sender.tell()!);
+      receiver.applyUpdate(instance, sender.createUpdate()!);
     }
     expect(receivedTokens).toBe(10);
   });
 
   it('reports nothing before any tokens were served', () => {
-    expect(new WorkspaceUseGossip(() => undefined).tell()).toBeUndefined();
+    expect(new WorkspaceUseGossip(() => undefined).createUpdate()).toBeUndefined();
   });
 });
