--- a/packages/stand-ins/src/experiments/limits/main.ts
+++ b/packages/stand-ins/src/experiments/limits/main.ts
@@ -3,7 +3,7 @@
 
 import type { BucketSize } from '@zincring/coordination';
 
-import type { ScenarioFigures } from './runScenario.js';
+import type { ScenarioResult } from './runScenario.js';
 
 import { mechanismNames, seatTerms } from './mechanisms.js';
 import { runScenario } from './runScenario.js';
@@ -34,33 +34,36 @@
   return cells.map((cell, index) => cell.padEnd(COLUMN_WIDTHS[index] ?? 0)).join(' ');
 }
 
-function formatPart(part: number, whole: number): string {
-  return `${((part / Math.max(1, whole)) * 100).toFixed(2)} %`;
+function formatPercentage(count: number, total: number): string {
+  return `${((count / Math.max(1, total)) * 100).toFixed(2)} %`;
 }
 
-function formatFigures(scenario: string, mechanism: string, figures: ScenarioFigures): string {
-  const lost = Math.max(0, figures.perfectlyGranted - figures.granted);
+function formatResult(scenario: string, mechanism: string, result: ScenarioResult): string {
+  const lostGrants = Math.max(0, result.grantedByReference - result.granted);
   return formatLine([
     scenario,
     mechanism,
-    String(figures.requests),
-    String(figures.granted),
-    String(figures.overBound),
-    formatPart(figures.wronglyRefused, figures.requests),
-    formatPart(lost, figures.perfectlyGranted),
-    figures.meanWaitMilliseconds.toFixed(1),
-    figures.messagesPerSecond.toFixed(1),
-    figures.tableOperationsPerSecond.toFixed(2),
+    String(result.requests),
+    String(result.granted),
+    String(result.overBound),
+    formatPercentage(result.wronglyRefused, result.requests),
+    formatPercentage(lostGrants, result.grantedByReference),
+    result.meanWaitMilliseconds.toFixed(1),
+    result.messagesPerSecond.toFixed(1),
+    result.tableOperationsPerSecond.toFixed(2),
   ]);
 }
 
 const options = await yargs(hideBin(process.argv))
   .scriptName('limits')
   .strict()
-  .option('seed', { default: 1, describe: 'seed of every history', type: 'number' })
-  .option('instances', { default: 13, describe: 'instances of the fleet', type: 'number' })
-  .option('scenario', { describe: 'only scenarios whose name holds this text', type: 'string' })
-  .option('seat-term-minutes', { default: 30, describe: 'term of limit seats', type: 'number' })
+  .option('seed', { default: 1, describe: 'seed of every scenario run', type: 'number' })
+  .option('instances', { default: 13, describe: 'number of instances', type: 'number' })
+  .option('scenario', {
+    describe: 'run only scenarios whose name contains this text',
+    type: 'string',
+  })
+  .option('seat-term-minutes', { default: 30, describe: 'term of seat leases', type: 'number' })
   .parse();
 
 process.stdout.write(`seed ${options.seed}, ${options.instances} instances\n`);
@@ -70,7 +73,7 @@
     continue;
   }
   for (const mechanism of mechanismNames) {
-    const figures = await runScenario({
+    const result = await runScenario({
       instances: options.instances,
       limits,
       mechanism,
@@ -78,6 +81,6 @@
       seatTerms: { ...seatTerms, termMilliseconds: options.seatTermMinutes * 60_000 },
       seed: options.seed,
     });
-    process.stdout.write(`${formatFigures(scenario.name, mechanism, figures)}\n`);
+    process.stdout.write(`${formatResult(scenario.name, mechanism, result)}\n`);
   }
 }
--- a/packages/stand-ins/src/experiments/limits/mechanisms.ts
+++ b/packages/stand-ins/src/experiments/limits/mechanisms.ts
@@ -22,7 +22,7 @@
 } from '@zincring/coordination';
 import { silentLogger, sleep } from '@zincring/core';
 
-/** What a mechanism sees of the world. */
+/** Dependencies of a mechanism at one instance. */
 export interface MechanismContext {
   readonly timers: TimerService;
   readonly table: TableService;
@@ -30,41 +30,43 @@
   readonly instance: string;
   readonly incarnation: string;
   readonly address: string;
-  /** Number of processes that ran before, over the whole fleet. */
-  readonly generation: number;
-  /** Instances that are alive and not leaving, as this one sees it. */
+  /** Ordinal of this process among all processes started in the fleet, from 1. */
+  readonly processNumber: number;
+  /** Returns the instances that this one sees as alive and not leaving. */
   readonly eligible: () => ReadonlySet<string>;
 }
 
-/** One mechanism at one instance. */
+/** Rate-limiting mechanism, as it runs at one instance. */
 export interface Mechanism extends Limiter {
+  /** Answers the loan request of another instance. */
   lend(request: LoanRequest): Loan;
-  /** Keeps leases up; called twice a second. */
+  /** Acquires and renews leases; called twice a second. */
   tick(): void;
-  /** Gives everything up before a planned stop. */
+  /** Releases all leases before a planned stop. */
   release(): Promise<void>;
 }
 
 /** Names of the mechanisms. */
 export type MechanismName = 'escrow' | 'single-home' | 'static-share';
 
-/** Every mechanism, the chosen one first. */
+/** All mechanisms; the first is the one that the product uses. */
 export const mechanismNames: readonly MechanismName[] = ['escrow', 'single-home', 'static-share'];
 
-/** Terms of the seats' leases. */
+/** Lease terms of the seats of the escrow mechanism. */
 export const seatTerms: LeaseTerms = {
   marginMilliseconds: 30_000,
   renewMilliseconds: 60_000,
   termMilliseconds: 1_800_000,
 };
 
+/** Lease terms of the homes of the single-home mechanism. */
 const homeTerms: LeaseTerms = {
   marginMilliseconds: 500,
   renewMilliseconds: 1_000,
   termMilliseconds: 5_000,
 };
 
-/** Terms of loans. */
+/** Durations of loans and of their renewal. */
 export const loanTerms: LoanTerms = {
   renewMilliseconds: 800,
   shareMilliseconds: 2_000,
@@ -73,11 +75,11 @@
 
 const SEAT_COUNT = 64;
 const HOME_COUNT = 16;
-const LOOK_MILLISECONDS = 2_000;
-const MAXIMUM_WAITING = 1_000;
-const LOANS_PER_PROCESS = 1_000_000;
+const LEASE_POLL_MILLISECONDS = 2_000;
+const MAXIMUM_WAITING_REQUESTS = 1_000;
+const LOAN_IDS_PER_PROCESS = 1_000_000;
 
-/** Makes a mechanism for one process. */
+/** Creates a mechanism for one process. */
 export function createMechanism(
   name: MechanismName,
   context: MechanismContext,
@@ -99,14 +101,14 @@
     ...context,
     createIncarnation: () => `${context.incarnation}.${sessions++}` as IncarnationId,
     logger: silentLogger,
-    pollMilliseconds: LOOK_MILLISECONDS,
+    pollMilliseconds: LEASE_POLL_MILLISECONDS,
     seatCount,
     activationDelayMilliseconds: loanTerms.shareMilliseconds * 1.02,
     terms,
   });
 }
 
-/** Seats for long terms, with loans. */
+/** Divides each rate over seats with long leases; instances lend shares and tokens to each other. */
 class EscrowMechanism implements Mechanism {
   private readonly seats: LimitSeats;
   private readonly limiter: EscrowedLimiter;
@@ -115,15 +117,15 @@
     this.seats = createSeats(context, SEAT_COUNT, terms);
     this.limiter = new EscrowedLimiter({
       borrower: borrowerName(context),
-      firstLoanId: context.generation * LOANS_PER_PROCESS + 1,
+      firstLoanId: context.processNumber * LOAN_IDS_PER_PROCESS + 1,
       homeOf: workspace => {
         const shard = shardOf(workspace, SEAT_COUNT);
         const home = preferredHolder(shard, context.eligible());
         return home === context.instance ? undefined : home;
       },
-      lenders: () => [...context.eligible()].filter(each => each !== context.instance),
+      lenders: () => [...context.eligible()].filter(instance => instance !== context.instance),
       loans: context.loans,
-      maximumWaiting: MAXIMUM_WAITING,
+      maximumWaiting: MAXIMUM_WAITING_REQUESTS,
       ownShares: () => this.seats.ownedShares(),
       terms: loanTerms,
       timers: context.timers,
@@ -152,7 +154,10 @@
   }
 }
 
-/** One home for each workspace with a short lease; every other instance asks it for each token. */
+/**
+ * Assigns every workspace to one home with a short lease; all other instances request each token
+ * from it.
+ */
 class SingleHomeMechanism implements Mechanism {
   private readonly seats: LimitSeats;
   private readonly limiters: readonly EscrowedLimiter[];
@@ -162,17 +167,17 @@
     this.limiters = Array.from({ length: HOME_COUNT }, (_, seat) => {
       return new EscrowedLimiter({
         borrower: borrowerName(context),
-        firstLoanId: context.generation * LOANS_PER_PROCESS + 1,
+        firstLoanId: context.processNumber * LOAN_IDS_PER_PROCESS + 1,
         homeOf: () => {
           const home = preferredHolder(seat as ShardId, context.eligible());
           return home === context.instance ? undefined : home;
         },
         lenders: () => [],
         loans: context.loans,
-        maximumWaiting: MAXIMUM_WAITING,
+        maximumWaiting: MAXIMUM_WAITING_REQUESTS,
         ownShares: () => {
-          const stake = this.seats.shareOfSeat(seat);
-          return stake === undefined ? [] : [{ ...stake, share: 1 }];
+          const seatShare = this.seats.shareOfSeat(seat);
+          return seatShare === undefined ? [] : [{ ...seatShare, share: 1 }];
         },
         terms: loanTerms,
         timers: context.timers,
@@ -182,19 +187,19 @@
 
   public configure(limits: WorkspaceLimits): void {
     for (const [seat, limiter] of this.limiters.entries()) {
-      limiter.configure(new Map([...limits].filter(([name]) => seatOf(name) === seat)));
+      limiter.configure(new Map([...limits].filter(([name]) => seatIndexOf(name) === seat)));
     }
   }
 
   public async admit(workspace: string, waitMilliseconds: number): Promise<AdmissionDecision> {
-    const limiter = this.limiters[seatOf(workspace)];
+    const limiter = this.limiters[seatIndexOf(workspace)];
     return limiter === undefined
       ? { retryMilliseconds: 1_000, status: 'refused' }
       : await limiter.admit(workspace, waitMilliseconds);
   }
 
   public lend(request: LoanRequest): Loan {
-    return this.limiters[seatOf(request.workspace)]?.lend(request) ?? noLoan(1_000);
+    return this.limiters[seatIndexOf(request.workspace)]?.lend(request) ?? noLoan(1_000);
   }
 
   public tick(): void {
@@ -209,19 +214,22 @@
   }
 }
 
-function seatOf(workspace: string): number {
+function seatIndexOf(workspace: string): number {
   return shardOf(workspace, HOME_COUNT);
 }
 
-interface DebtBucket {
+interface LocalBucket {
   tokens: number;
   updatedAt: number;
 }
 
-/** Each instance takes an equal part of what it believes to be the fleet, one token at the least. */
+/**
+ * Grants at each instance an equal fraction of the rate and burst, according to the number of
+ * instances that it sees as alive; the burst is at least one token.
+ */
 class StaticShareMechanism implements Mechanism {
   private limits: WorkspaceLimits = new Map();
-  private readonly buckets = new Map<string, DebtBucket>();
+  private readonly buckets = new Map<string, LocalBucket>();
 
   public constructor(private readonly context: MechanismContext) {}
 
@@ -252,7 +260,7 @@
   }
 
   public tick(): void {
-    // Nothing is leased.
+    // Static shares need no lease.
   }
 
   public async release(): Promise<void> {
@@ -260,11 +268,11 @@
   }
 
   private shareOf(limit: BucketSize): BucketSize {
-    const count = Math.max(1, this.context.eligible().size);
-    return { burst: Math.max(1, limit.burst / count), rate: limit.rate / count };
+    const instanceCount = Math.max(1, this.context.eligible().size);
+    return { burst: Math.max(1, limit.burst / instanceCount), rate: limit.rate / instanceCount };
   }
 
-  private refill(workspace: string, share: BucketSize): DebtBucket {
+  private refill(workspace: string, share: BucketSize): LocalBucket {
     const now = this.context.timers.now();
     const bucket = this.buckets.get(workspace) ?? { tokens: 0, updatedAt: now };
     const seconds = (now - bucket.updatedAt) / 1_000;
--- a/packages/stand-ins/src/experiments/limits/runScenario.ts
+++ b/packages/stand-ins/src/experiments/limits/runScenario.ts
@@ -4,28 +4,28 @@
 import type { Scenario } from './scenarios.js';
 import type { SimulatedInstance } from './simulatedFleet.js';
 
-import { PerfectLimiter } from './grantChecker.js';
+import { ReferenceLimiter } from './grantChecker.js';
 import { RandomSource } from '../../util/randomSource.js';
 import { SimulatedFleet } from './simulatedFleet.js';
 
-/** What one mechanism did in one scenario. */
-export interface ScenarioFigures {
+/** Result of one mechanism in one scenario. */
+export interface ScenarioResult {
   readonly requests: number;
   readonly granted: number;
-  /** Grants above rate × window + burst. */
+  /** Number of grants above rate × window + burst. */
   readonly overBound: number;
-  /** Requests refused that a single perfect bucket would have granted. */
+  /** Number of refused requests that the reference limiter grants. */
   readonly wronglyRefused: number;
-  /** Requests that the perfect bucket would have granted. */
-  readonly perfectlyGranted: number;
+  /** Number of requests that the reference limiter grants. */
+  readonly grantedByReference: number;
   /** Mean time that granted requests waited, in milliseconds. */
   readonly meanWaitMilliseconds: number;
   readonly messagesPerSecond: number;
   readonly tableOperationsPerSecond: number;
 }
 
-/** What to run. */
-export interface ScenarioRun {
+/** Options of {@link runScenario}. */
+export interface ScenarioRunOptions {
   readonly mechanism: MechanismName;
   readonly scenario: Scenario;
   readonly seed: number;
@@ -34,62 +34,62 @@
   readonly seatTerms?: LeaseTerms;
 }
 
-/** Time for seats to be taken before the first request, in milliseconds. */
+/** Time before the first request in which instances acquire their seats, in milliseconds. */
 const WARM_UP_MILLISECONDS = 15_000;
-/** Longest wait of a request, in milliseconds. */
-const WAIT_MILLISECONDS = 2_000;
-const CLOCK_DRIFT = 0.0005;
+/** Maximum time that a request waits for a token, in milliseconds. */
+const MAXIMUM_WAIT_MILLISECONDS = 2_000;
+const MAXIMUM_CLOCK_DRIFT = 0.0005;
 
 /** Runs one mechanism through one scenario. */
-export async function runScenario(run: ScenarioRun): Promise<ScenarioFigures> {
-  const random = new RandomSource(run.seed);
-  const fleet = new SimulatedFleet({ ...run, drift: CLOCK_DRIFT, random });
+export async function runScenario(options: ScenarioRunOptions): Promise<ScenarioResult> {
+  const random = new RandomSource(options.seed);
+  const fleet = new SimulatedFleet({ ...options, drift: MAXIMUM_CLOCK_DRIFT, random });
   await fleet.timers.advance(WARM_UP_MILLISECONDS);
   fleet.messages = 0;
   fleet.tableOperations = 0;
-  const load = new OfferedLoad(run, fleet);
-  run.scenario.disturb(fleet);
+  const load = new OfferedLoad(options, fleet);
+  options.scenario.scheduleFaults(fleet);
   load.start();
-  await fleet.timers.advance(run.scenario.durationMilliseconds);
+  await fleet.timers.advance(options.scenario.durationMilliseconds);
   load.stop();
-  await fleet.timers.advance(2 * WAIT_MILLISECONDS);
-  return load.figures();
+  await fleet.timers.advance(2 * MAXIMUM_WAIT_MILLISECONDS);
+  return load.result();
 }
 
-/** Poisson requests of every workspace, judged against a perfect bucket. */
+/** Sends Poisson requests of every workspace and compares the outcomes with a reference limiter. */
 class OfferedLoad {
   private readonly startedAt: number;
-  private readonly arrivals: RandomSource;
+  private readonly targetRandom: RandomSource;
   private isStopped = false;
   private requests = 0;
   private granted = 0;
   private wronglyRefused = 0;
-  private perfectlyGranted = 0;
-  private waited = 0;
+  private grantedByReference = 0;
+  private totalWaitMilliseconds = 0;
 
   public constructor(
-    private readonly run: ScenarioRun,
+    private readonly options: ScenarioRunOptions,
     private readonly fleet: SimulatedFleet,
   ) {
     this.startedAt = fleet.timers.now();
-    // Its own source, so that every mechanism sees the same requests.
-    this.arrivals = new RandomSource(run.seed + 1);
+    // A separate source, so that all mechanisms receive the same requests.
+    this.targetRandom = new RandomSource(options.seed + 1);
   }
 
   public start(): void {
-    for (const [index, [workspace, size]] of [...this.run.limits].entries()) {
-      const perfect = new PerfectLimiter(size);
-      const source = new RandomSource(this.run.seed + 100 + index);
-      this.scheduleNext(workspace, size, index, perfect, source);
+    for (const [workspaceIndex, [workspace, size]] of [...this.options.limits].entries()) {
+      const reference = new ReferenceLimiter(size);
+      const arrivalRandom = new RandomSource(this.options.seed + 100 + workspaceIndex);
+      this.scheduleNext(workspace, size, workspaceIndex, reference, arrivalRandom);
     }
   }
 
-  /** Sends nothing more; requests that wait are still answered. */
+  /** Sends no further requests; waiting requests are still answered. */
   public stop(): void {
     this.isStopped = true;
   }
 
-  public figures(): ScenarioFigures {
+  public result(): ScenarioResult {
     const seconds = (this.fleet.timers.now() - this.startedAt) / 1_000;
     let overBound = 0;
     for (const checker of this.fleet.checkers.values()) {
@@ -97,10 +97,10 @@
     }
     return {
       granted: this.granted,
-      meanWaitMilliseconds: this.waited / Math.max(1, this.granted),
+      meanWaitMilliseconds: this.totalWaitMilliseconds / Math.max(1, this.granted),
       messagesPerSecond: this.fleet.messages / seconds,
       overBound,
-      perfectlyGranted: this.perfectlyGranted,
+      grantedByReference: this.grantedByReference,
       requests: this.requests,
       tableOperationsPerSecond: this.fleet.tableOperations / seconds,
       wronglyRefused: this.wronglyRefused,
@@ -110,44 +110,46 @@
   private scheduleNext(
     workspace: string,
     size: BucketSize,
-    index: number,
-    perfect: PerfectLimiter,
-    source: RandomSource,
+    workspaceIndex: number,
+    reference: ReferenceLimiter,
+    arrivalRandom: RandomSource,
   ): void {
     this.fleet.timers.after(
-      source.exponential(1_000 / (size.rate * this.run.scenario.load)),
+      arrivalRandom.exponential(1_000 / (size.rate * this.options.scenario.load)),
       () => {
-        this.send(workspace, index, perfect);
-        this.scheduleNext(workspace, size, index, perfect, source);
+        this.send(workspace, workspaceIndex, reference);
+        this.scheduleNext(workspace, size, workspaceIndex, reference, arrivalRandom);
       },
     );
   }
 
-  private send(workspace: string, index: number, perfect: PerfectLimiter): void {
+  private send(workspace: string, workspaceIndex: number, reference: ReferenceLimiter): void {
     const sentAt = this.fleet.timers.now();
-    const target = this.choose(index);
+    const target = this.chooseInstance(workspaceIndex);
     if (target === undefined || this.isStopped) {
       return;
     }
-    const isPerfect = perfect.admit(sentAt, WAIT_MILLISECONDS);
+    const isGrantedByReference = reference.admit(sentAt, MAXIMUM_WAIT_MILLISECONDS);
     this.requests++;
-    this.perfectlyGranted += isPerfect ? 1 : 0;
-    this.fleet.request(target, workspace, WAIT_MILLISECONDS, outcome => {
+    this.grantedByReference += isGrantedByReference ? 1 : 0;
+    this.fleet.request(target, workspace, MAXIMUM_WAIT_MILLISECONDS, outcome => {
       if (outcome === 'granted') {
         this.granted++;
-        this.waited += this.fleet.timers.now() - sentAt;
-      } else if (isPerfect) {
+        this.totalWaitMilliseconds += this.fleet.timers.now() - sentAt;
+      } else if (isGrantedByReference) {
         this.wronglyRefused++;
       }
     });
   }
 
-  /** The balancer: instances that run and are not leaving. */
-  private choose(index: number): SimulatedInstance | undefined {
+  /** Chooses an instance as the load balancer does: among those that run and are not leaving. */
+  private chooseInstance(workspaceIndex: number): SimulatedInstance | undefined {
     const ready = this.fleet.instances.filter(
-      each => each.process.state === 'running' && !each.isLeaving,
+      instance => instance.process.state === 'running' && !instance.isLeaving,
     );
-    const place = this.run.scenario.isSkewed ? index : this.arrivals.below(ready.length);
-    return ready[place % Math.max(1, ready.length)];
+    const position = this.options.scenario.isSkewed
+      ? workspaceIndex
+      : this.targetRandom.below(ready.length);
+    return ready[position % Math.max(1, ready.length)];
   }
 }
--- a/packages/stand-ins/src/experiments/limits/scenarios.ts
+++ b/packages/stand-ins/src/experiments/limits/scenarios.ts
@@ -9,31 +9,31 @@
   | 'skewed load'
   | 'store outage';
 
-/** One history that every mechanism goes through. */
+/** Load and faults under which every mechanism is run. */
 export interface Scenario {
   readonly name: ScenarioName;
-  /** Offered requests as a part of each workspace's rate. */
+  /** Offered requests as a multiple of each workspace's rate. */
   readonly load: number;
   /** Whether all requests of a workspace reach one instance. */
   readonly isSkewed: boolean;
   readonly durationMilliseconds: number;
-  /** What happens beside the requests. */
-  readonly disturb: (fleet: SimulatedFleet) => void;
+  /** Schedules the faults that occur during the run. */
+  readonly scheduleFaults: (fleet: SimulatedFleet) => void;
 }
 
-const SECOND = 1_000;
-const MINUTE = 60 * SECOND;
-const RESTART_INTERVAL_MILLISECONDS = 10 * SECOND;
-const RESTART_PAUSE_MILLISECONDS = 2 * SECOND;
-const OUTAGE_START_MILLISECONDS = 20 * SECOND;
-const OUTAGE_MILLISECONDS = 20 * MINUTE;
+const SECOND_MILLISECONDS = 1_000;
+const MINUTE_MILLISECONDS = 60 * SECOND_MILLISECONDS;
+const RESTART_INTERVAL_MILLISECONDS = 10 * SECOND_MILLISECONDS;
+const RESTART_DELAY_MILLISECONDS = 2 * SECOND_MILLISECONDS;
+const OUTAGE_START_MILLISECONDS = 20 * SECOND_MILLISECONDS;
+const OUTAGE_DURATION_MILLISECONDS = 20 * MINUTE_MILLISECONDS;
 
-function nothing(): void {
-  // The load alone is the history.
+function scheduleNoFaults(): void {
+  // The scenario consists of load only.
 }
 
-function crashOne(fleet: SimulatedFleet): void {
-  fleet.timers.after(10 * SECOND, () => {
+function scheduleCrash(fleet: SimulatedFleet): void {
+  fleet.timers.after(10 * SECOND_MILLISECONDS, () => {
     const victim = fleet.instances[0];
     if (victim !== undefined) {
       fleet.crash(victim);
@@ -41,70 +41,70 @@
   });
 }
 
-function restartAll(fleet: SimulatedFleet): void {
+function scheduleRollingRestart(fleet: SimulatedFleet): void {
   for (const [index, instance] of fleet.instances.entries()) {
     fleet.timers.after((index + 1) * RESTART_INTERVAL_MILLISECONDS, () => {
-      void replace(fleet, instance);
+      void drainAndRestart(fleet, instance);
     });
   }
 }
 
-async function replace(fleet: SimulatedFleet, instance: SimulatedInstance): Promise<void> {
+async function drainAndRestart(fleet: SimulatedFleet, instance: SimulatedInstance): Promise<void> {
   await fleet.drain(instance);
-  fleet.timers.after(RESTART_PAUSE_MILLISECONDS, () => {
+  fleet.timers.after(RESTART_DELAY_MILLISECONDS, () => {
     fleet.restart(instance);
   });
 }
 
-function outage(fleet: SimulatedFleet): void {
+function scheduleStoreOutage(fleet: SimulatedFleet): void {
   fleet.timers.after(OUTAGE_START_MILLISECONDS, () => {
     fleet.faults.set({ outage: 'refuse' });
   });
-  fleet.timers.after(OUTAGE_START_MILLISECONDS + OUTAGE_MILLISECONDS, () => {
+  fleet.timers.after(OUTAGE_START_MILLISECONDS + OUTAGE_DURATION_MILLISECONDS, () => {
     fleet.faults.set({ outage: 'none' });
   });
 }
 
-/** Every scenario of the comparison. */
+/** All scenarios of the comparison. */
 export const scenarios: readonly Scenario[] = [
   {
-    disturb: nothing,
-    durationMilliseconds: 2 * MINUTE,
+    scheduleFaults: scheduleNoFaults,
+    durationMilliseconds: 2 * MINUTE_MILLISECONDS,
     isSkewed: false,
     load: 0.9,
     name: 'even load',
   },
   {
-    disturb: nothing,
-    durationMilliseconds: 2 * MINUTE,
+    scheduleFaults: scheduleNoFaults,
+    durationMilliseconds: 2 * MINUTE_MILLISECONDS,
     isSkewed: true,
     load: 0.9,
     name: 'skewed load',
   },
   {
-    disturb: crashOne,
-    durationMilliseconds: 2 * MINUTE,
+    scheduleFaults: scheduleCrash,
+    durationMilliseconds: 2 * MINUTE_MILLISECONDS,
     isSkewed: false,
     load: 0.9,
     name: 'crash',
   },
   {
-    disturb: restartAll,
-    durationMilliseconds: 3 * MINUTE,
+    scheduleFaults: scheduleRollingRestart,
+    durationMilliseconds: 3 * MINUTE_MILLISECONDS,
     isSkewed: false,
     load: 0.9,
     name: 'rolling restart',
   },
   {
-    disturb: outage,
-    durationMilliseconds: 21 * MINUTE,
+    scheduleFaults: scheduleStoreOutage,
+    durationMilliseconds: 21 * MINUTE_MILLISECONDS,
     isSkewed: false,
     load: 0.9,
     name: 'store outage',
   },
   {
-    disturb: nothing,
-    durationMilliseconds: MINUTE,
+    scheduleFaults: scheduleNoFaults,
+    durationMilliseconds: MINUTE_MILLISECONDS,
     isSkewed: false,
     load: 5,
     name: 'five times the rate',
--- a/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
@@ -28,18 +28,18 @@
 import { createMechanism } from './mechanisms.js';
 import { SimulatedProcess } from './simulatedProcess.js';
 
-/** What a simulated fleet is made of. */
+/** Options of a {@link SimulatedFleet}. */
 export interface SimulatedFleetOptions {
   readonly mechanism: MechanismName;
   readonly instances: number;
   readonly limits: WorkspaceLimits;
   readonly random: RandomSource;
   readonly seatTerms?: LeaseTerms;
-  /** Largest drift of a clock, as a part. */
+  /** Maximum drift of a process clock in either direction, as a fraction. */
   readonly drift: number;
 }
 
-/** One instance over its processes. */
+/** One instance, whose process changes at each restart. */
 export interface SimulatedInstance {
   readonly name: string;
   process: SimulatedProcess;
@@ -48,31 +48,31 @@
   isLeaving: boolean;
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 export type RequestOutcome = 'granted' | 'refused' | 'unanswered';
 
 const HEARTBEAT_MILLISECONDS = 500;
-const SUSPECT_MILLISECONDS = 2_000;
-const LEAST_LATENCY_MILLISECONDS = 0.5;
+const SUSPECT_AFTER_MILLISECONDS = 2_000;
+const MINIMUM_LATENCY_MILLISECONDS = 0.5;
 const LATENCY_SPREAD_MILLISECONDS = 1;
 const LOAN_TIMEOUT_MILLISECONDS = 300;
 const TABLE_LATENCY_MILLISECONDS = 5;
-const CLOCK_SPREAD_MILLISECONDS = 1_000_000;
+const MAXIMUM_CLOCK_OFFSET_MILLISECONDS = 1_000_000;
 
-/** A fleet in one process on manual time: only processes, messages and faults are simulated. */
+/** Runs a fleet in one process on manual time; only processes, messages and faults are simulated. */
 export class SimulatedFleet {
   public readonly timers = new ManualTimerService();
   public readonly instances: SimulatedInstance[] = [];
   public readonly checkers = new Map<string, GrantChecker>();
-  /** Faults of the table service, for all. */
+  /** Faults of the table service, the same for all instances. */
   public readonly faults = new FaultSwitch(this.timers);
   public readonly table = new MemoryTable();
-  /** Messages between instances, requests and answers. */
+  /** Number of messages sent between instances, requests and responses alike. */
   public messages = 0;
-  /** Reads and writes at the table service. */
+  /** Number of reads and writes at the table service. */
   public tableOperations = 0;
-  private readonly cuts = new Set<string>();
-  private readonly heardAt = new Map<string, number>();
+  private readonly partitionedPairs = new Set<string>();
+  private readonly lastHeartbeatAt = new Map<string, number>();
   private processCount = 0;
 
   public constructor(private readonly options: SimulatedFleetOptions) {
@@ -92,60 +92,60 @@
     this.instances.forEach(instance => {
       instance.mechanism.configure(instance.limits);
     });
-    this.beat();
+    this.sendHeartbeats();
     this.timers.every(HEARTBEAT_MILLISECONDS, () => {
-      this.beat();
+      this.sendHeartbeats();
     });
   }
 
-  /** Cuts or mends the connection between two instances. */
-  public setCut(left: string, right: string, isCut: boolean): void {
+  /** Cuts or restores the connection between two instances, in both directions. */
+  public setCut(left: string, right: string, isPartitioned: boolean): void {
     for (const pair of [`${left}>${right}`, `${right}>${left}`]) {
-      if (isCut) {
-        this.cuts.add(pair);
+      if (isPartitioned) {
+        this.partitionedPairs.add(pair);
       } else {
-        this.cuts.delete(pair);
+        this.partitionedPairs.delete(pair);
       }
     }
   }
 
-  /** Mends every connection. */
+  /** Restores every connection. */
   public mendAll(): void {
-    this.cuts.clear();
+    this.partitionedPairs.clear();
   }
 
-  /** Starts an instance again whose process has ended. */
+  /** Replaces the process of an instance by a new one; ends the old one if it still runs. */
   public restart(instance: SimulatedInstance): void {
     instance.process.kill();
     Object.assign(instance, this.createProcess(instance.name));
     instance.isLeaving = false;
     instance.mechanism.configure(instance.limits);
-    this.updateCheckers();
+    this.resizeCheckers();
   }
 
-  /** Ends an instance's process without notice. */
+  /** Kills the process of an instance without a clean stop. */
   public crash(instance: SimulatedInstance): void {
     instance.process.kill();
-    this.updateCheckers();
+    this.resizeCheckers();
   }
 
-  /** Shuts an instance down as a planned stop does. */
+  /** Marks an instance as leaving and releases its leases, as a planned stop does. */
   public async drain(instance: SimulatedInstance): Promise<void> {
     instance.isLeaving = true;
     await instance.mechanism.release();
   }
 
-  /** Puts rates and bursts in force at one instance. */
+  /** Applies rates and bursts at one instance. */
   public configure(instance: SimulatedInstance, limits: WorkspaceLimits): void {
     instance.process.run(() => {
       instance.limits = limits;
-      this.updateCheckers();
+      this.resizeCheckers();
       instance.mechanism.configure(limits);
-      this.updateCheckers();
+      this.resizeCheckers();
     });
   }
 
-  /** Sends a request to an instance; calls back once it is answered. */
+  /** Sends a request to an instance and calls back once it is answered. */
   public request(
     instance: SimulatedInstance,
     workspace: string,
@@ -154,32 +154,32 @@
   ): void {
     const { mechanism, process } = instance;
     process.run(() => {
-      void mechanism.admit(workspace, waitMilliseconds).then(admittance => {
+      void mechanism.admit(workspace, waitMilliseconds).then(decision => {
         if (process.state === 'dead') {
           return;
         }
-        if (admittance.status === 'granted') {
-          this.checkers.get(workspace)?.grant(this.timers.now());
+        if (decision.status === 'granted') {
+          this.checkers.get(workspace)?.recordGrant(this.timers.now());
         }
-        onOutcome(admittance.status);
+        onOutcome(decision.status);
       });
     });
   }
 
   private createProcess(name: string): { process: SimulatedProcess; mechanism: Mechanism } {
     const { drift, mechanism, random, seatTerms } = this.options;
-    const generation = ++this.processCount;
+    const processNumber = ++this.processCount;
     const process = new SimulatedProcess(this.timers, {
       drift: (random.uniform() * 2 - 1) * drift,
-      offsetMilliseconds: random.uniform() * CLOCK_SPREAD_MILLISECONDS,
+      offsetMilliseconds: random.uniform() * MAXIMUM_CLOCK_OFFSET_MILLISECONDS,
     });
-    const created = createMechanism(
+    const newMechanism = createMechanism(
       mechanism,
       {
         address: name,
-        eligible: () => this.eligible(name),
-        generation,
-        incarnation: `${name}.${generation}`,
+        eligible: () => this.listEligible(name),
+        processNumber,
+        incarnation: `${name}.${processNumber}`,
         instance: name,
         loans: { borrow: async (lender, request) => this.borrow(name, process, lender, request) },
         table: this.createTable(process),
@@ -188,17 +188,17 @@
       seatTerms,
     );
     process.every(HEARTBEAT_MILLISECONDS, () => {
-      created.tick();
+      newMechanism.tick();
     });
     process.after(0, () => {
-      created.tick();
+      newMechanism.tick();
     });
-    return { mechanism: created, process };
+    return { mechanism: newMechanism, process };
   }
 
   private createTable(process: SimulatedProcess): TableService {
     const inner = new MemoryTableService(this.table, this.faults);
-    const count = async <Value>(
+    const countOperation = async <Value>(
       outcome: Promise<Result<Value, PlatformError>>,
     ): Promise<Result<Value, PlatformError>> => {
       this.tableOperations++;
@@ -206,17 +206,18 @@
     };
     return {
       read: async (keys: readonly string[]): Promise<Result<readonly Row[], PlatformError>> =>
-        count(inner.read(keys)),
+        countOperation(inner.read(keys)),
       scan: async (request: ScanRequest): Promise<Result<ScanPage, PlatformError>> =>
-        count(inner.scan(request)),
+        countOperation(inner.scan(request)),
       transact: async (
         transaction: Transaction,
-      ): Promise<Result<TransactionOutcome, PlatformError>> => count(inner.transact(transaction)),
+      ): Promise<Result<TransactionOutcome, PlatformError>> =>
+        countOperation(inner.transact(transaction)),
     };
   }
 
   private async borrow(
-    name: string,
+    borrower: string,
     process: SimulatedProcess,
     lender: string,
     request: LoanRequest,
@@ -233,9 +234,9 @@
       const timeout = process.after(LOAN_TIMEOUT_MILLISECONDS, () => {
         answer(undefined);
       });
-      this.send(name, lender, target => {
+      this.send(borrower, lender, target => {
         const loan = target.mechanism.lend(request);
-        this.send(lender, name, () => {
+        this.send(lender, borrower, () => {
           process.run(() => {
             answer(loan);
           });
@@ -246,11 +247,11 @@
 
   private send(from: string, to: string, deliver: (target: SimulatedInstance) => void): void {
     this.messages++;
-    const latency =
-      LEAST_LATENCY_MILLISECONDS + this.options.random.uniform() * LATENCY_SPREAD_MILLISECONDS;
-    this.timers.after(latency, () => {
-      const target = this.instances.find(each => each.name === to);
-      if (target === undefined || this.cuts.has(`${from}>${to}`)) {
+    const latencyMilliseconds =
+      MINIMUM_LATENCY_MILLISECONDS + this.options.random.uniform() * LATENCY_SPREAD_MILLISECONDS;
+    this.timers.after(latencyMilliseconds, () => {
+      const target = this.instances.find(instance => instance.name === to);
+      if (target === undefined || this.partitionedPairs.has(`${from}>${to}`)) {
         return;
       }
       target.process.run(() => {
@@ -259,31 +260,38 @@
     });
   }
 
-  private beat(): void {
+  private sendHeartbeats(): void {
     for (const from of this.instances) {
       for (const to of this.instances) {
-        if (from.process.state === 'running' && !this.cuts.has(`${from.name}>${to.name}`)) {
-          this.heardAt.set(`${from.name}>${to.name}`, this.timers.now());
+        if (
+          from.process.state === 'running' &&
+          !this.partitionedPairs.has(`${from.name}>${to.name}`)
+        ) {
+          this.lastHeartbeatAt.set(`${from.name}>${to.name}`, this.timers.now());
         }
       }
     }
   }
 
-  private eligible(self: string): ReadonlySet<string> {
-    const oldest = this.timers.now() - SUSPECT_MILLISECONDS;
-    const isHeard = (name: string): boolean =>
-      name === self || (this.heardAt.get(`${name}>${self}`) ?? Number.NEGATIVE_INFINITY) >= oldest;
+  private listEligible(observer: string): ReadonlySet<string> {
+    const suspectedBefore = this.timers.now() - SUSPECT_AFTER_MILLISECONDS;
+    const isAlive = (name: string): boolean =>
+      name === observer ||
+      (this.lastHeartbeatAt.get(`${name}>${observer}`) ?? Number.NEGATIVE_INFINITY) >=
+        suspectedBefore;
     return new Set(
-      this.instances.filter(each => !each.isLeaving && isHeard(each.name)).map(each => each.name),
+      this.instances
+        .filter(instance => !instance.isLeaving && isAlive(instance.name))
+        .map(instance => instance.name),
     );
   }
 
-  /** The greatest rate and the greatest burst in force at any live process bound the grants. */
-  private updateCheckers(): void {
+  /** Bounds the grants by the highest rate and the highest burst applied at any live process. */
+  private resizeCheckers(): void {
     for (const [workspace, checker] of this.checkers) {
       const sizes = this.instances
-        .filter(each => each.process.state !== 'dead')
-        .map(each => each.limits.get(workspace))
+        .filter(instance => instance.process.state !== 'dead')
+        .map(instance => instance.limits.get(workspace))
         .filter((size): size is BucketSize => size !== undefined);
       checker.resize(this.timers.now(), {
         burst: Math.max(0, ...sizes.map(size => size.burst)),
--- a/packages/stand-ins/src/experiments/limits/simulatedProcess.ts
+++ b/packages/stand-ins/src/experiments/limits/simulatedProcess.ts
@@ -1,25 +1,25 @@
 import type { TimerService, TimerSubscription } from '@zincring/core';
 
-/** How a process of the simulation stands. */
+/** State of a simulated process. */
 export type ProcessState = 'dead' | 'paused' | 'running';
 
-/** A monotonic clock with a zero and a speed of its own. */
+/** A monotonic clock with its own zero and speed. */
 export interface SimulatedClock {
   readonly offsetMilliseconds: number;
-  /** Part by which the clock runs fast. */
+  /** Fraction by which the clock runs fast; negative for a slow clock. */
   readonly drift: number;
 }
 
 /**
- * One process: whatever reaches it while it is paused waits until it goes on, and never arrives
- * once it is dead.
+ * Simulates one process: work that reaches it while it is paused is queued until it resumes, and
+ * work that reaches it after it has died is dropped.
  */
 export class SimulatedProcess implements TimerService {
   private currentState: ProcessState = 'running';
-  private inbox: (() => void)[] = [];
+  private pausedWork: (() => void)[] = [];
 
   public constructor(
-    private readonly world: TimerService,
+    private readonly simulationTimers: TimerService,
     private readonly clock: SimulatedClock,
   ) {}
 
@@ -27,14 +27,14 @@
     return this.currentState;
   }
 
-  /** Runs work in the process, now or when it goes on. */
+  /** Runs work in the process, immediately or once the process resumes. */
   public run(work: () => void): void {
     switch (this.currentState) {
       case 'running':
         work();
         return;
       case 'paused':
-        this.inbox.push(work);
+        this.pausedWork.push(work);
         return;
       case 'dead':
         return;
@@ -48,26 +48,26 @@
     }
   }
 
-  /** Lets the process go on. */
+  /** Resumes the process and runs the queued work. */
   public resume(): void {
     if (this.currentState !== 'paused') {
       return;
     }
     this.currentState = 'running';
-    const waiting = this.inbox;
-    this.inbox = [];
-    for (const work of waiting) {
+    const queuedWork = this.pausedWork;
+    this.pausedWork = [];
+    for (const work of queuedWork) {
       work();
     }
   }
 
-  /** Ends the process without notice. */
+  /** Kills the process without a clean stop. */
   public kill(): void {
     this.currentState = 'dead';
-    this.inbox = [];
+    this.pausedWork = [];
   }
 
-  /** Lets an outcome of the outside reach the process only while it runs. */
+  /** Delivers the outcome of an external operation to the process once it runs. */
   public async receive<Value>(outcome: Promise<Value>): Promise<Value> {
     const value = await outcome;
     return await new Promise(resolve => {
@@ -78,28 +78,28 @@
   }
 
   public now(): number {
-    return this.clock.offsetMilliseconds + this.world.now() * (1 + this.clock.drift);
+    return this.clock.offsetMilliseconds + this.simulationTimers.now() * (1 + this.clock.drift);
   }
 
   public wallClock(): number {
-    return this.world.wallClock();
+    return this.simulationTimers.wallClock();
   }
 
   public after(delayMilliseconds: number, callback: () => void): TimerSubscription {
-    return this.guard(
-      run => this.world.after(delayMilliseconds / (1 + this.clock.drift), run),
+    return this.scheduleInProcess(
+      run => this.simulationTimers.after(delayMilliseconds / (1 + this.clock.drift), run),
       callback,
     );
   }
 
   public every(intervalMilliseconds: number, callback: () => void): TimerSubscription {
-    return this.guard(
-      run => this.world.every(intervalMilliseconds / (1 + this.clock.drift), run),
+    return this.scheduleInProcess(
+      run => this.simulationTimers.every(intervalMilliseconds / (1 + this.clock.drift), run),
       callback,
     );
   }
 
-  private guard(
+  private scheduleInProcess(
     schedule: (run: () => void) => TimerSubscription,
     callback: () => void,
   ): TimerSubscription {
