--- a/packages/stand-ins/src/benchmarks/benchmark.ts
+++ b/packages/stand-ins/src/benchmarks/benchmark.ts
@@ -1,17 +1,17 @@
 import type { OperationCost } from './measureOperation.js';
 
-/** One line of the table. */
+/** One row of the benchmark table. */
 export interface BenchmarkResult {
   readonly operation: string;
-  /** What is counted, such as programs or replicas. */
+  /** Name of the quantity that varies, such as programs or replicas. */
   readonly dimension: string;
   readonly size: number;
   readonly cost: OperationCost;
-  /** Bytes that are kept for each unit of the size; `undefined` where nothing is kept. */
-  readonly keptBytesPerUnit: number | undefined;
+  /** Heap bytes retained for each unit of the size; `undefined` where none are measured. */
+  readonly retainedBytesPerUnit: number | undefined;
 }
 
-/** A set of measurements over growing sizes. */
+/** A set of measurements over increasing sizes. */
 export interface Benchmark {
   run(): readonly BenchmarkResult[];
 }
--- a/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
@@ -5,61 +5,65 @@
 
 import type { Benchmark, BenchmarkResult } from './benchmark.js';
 
-import { heapInUse, measureOperation } from './measureOperation.js';
+import { measureHeapBytes, measureOperation } from './measureOperation.js';
 
-const REPLICA_SIZES = [12, 120, 1_200, 12_000];
-const PROGRAM_SIZES = [1_850, 18_500, 185_000];
-const REPLICAS_WITH_MANY_PROGRAMS = 1_200;
-const PROGRAMS_WITH_MANY_REPLICAS = 1_850;
-/** Prefixes of a program of six turns: prompt and answer each. */
+const REPLICA_COUNTS = [12, 120, 1_200, 12_000];
+const PROGRAM_COUNTS = [1_850, 18_500, 185_000];
+/** Number of replicas while the number of programs varies. */
+const FIXED_REPLICA_COUNT = 1_200;
+/** Number of programs while the number of replicas varies. */
+const FIXED_PROGRAM_COUNT = 1_850;
+/** Prefixes of a program of six turns: a prompt and an answer for each turn. */
 const PREFIXES_PER_PROGRAM = 12;
 const TOKENS_PER_PREFIX = 1_000;
-const OPERATIONS = 20_000;
-const ZONES = 12;
+const OPERATION_COUNT = 20_000;
+const ZONE_COUNT = 12;
 
-/** Choices of a replica, with a record of prefixes for every program. */
+/** Measures the choice of a replica when the chooser has recorded the prefixes of every program. */
 export class ChooserBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
     return [
-      ...REPLICA_SIZES.map(size =>
-        measureChooser('replicas', size, PROGRAMS_WITH_MANY_REPLICAS, size),
-      ),
-      ...PROGRAM_SIZES.map(size =>
-        measureChooser('programs', REPLICAS_WITH_MANY_PROGRAMS, size, size),
-      ),
+      ...REPLICA_COUNTS.map(size => measureChooser('replicas', size, FIXED_PROGRAM_COUNT, size)),
+      ...PROGRAM_COUNTS.map(size => measureChooser('programs', FIXED_REPLICA_COUNT, size, size)),
     ];
   }
 }
 
 function measureChooser(
   dimension: string,
-  replicas: number,
-  programs: number,
+  replicaCount: number,
+  programCount: number,
   size: number,
 ): BenchmarkResult {
-  const heapBefore = heapInUse();
-  const chooser = createChooser(replicas, programs);
-  for (let program = 0; program < programs; program++) {
-    chooser.recordDispatch(replicaId(program % replicas), chainOf(program), 0);
+  const heapBefore = measureHeapBytes();
+  const chooser = createChooser(replicaCount, programCount);
+  for (let programIndex = 0; programIndex < programCount; programIndex++) {
+    chooser.recordDispatch(
+      replicaId(programIndex % replicaCount),
+      createPrefixChain(programIndex),
+      0,
+    );
   }
-  const keptBytes = heapInUse() - heapBefore;
-  const requests = Array.from({ length: OPERATIONS }, (_, index) => requestOf(index % programs));
-  const cost = measureOperation(OPERATIONS, index => {
+  const retainedBytes = measureHeapBytes() - heapBefore;
+  const requests = Array.from({ length: OPERATION_COUNT }, (_, index) =>
+    createRequest(index % programCount),
+  );
+  const cost = measureOperation(OPERATION_COUNT, index => {
     const request = requests[index % requests.length];
     if (request !== undefined) {
       chooser.choose(request, index, () => true);
     }
   });
-  const keptBytesPerUnit = dimension === 'programs' ? keptBytes / size : undefined;
-  return { cost, dimension, keptBytesPerUnit, operation: 'replica choice', size };
+  const retainedBytesPerUnit = dimension === 'programs' ? retainedBytes / size : undefined;
+  return { cost, dimension, retainedBytesPerUnit, operation: 'replica choice', size };
 }
 
-function createChooser(replicas: number, programs: number): CostReplicaChooser {
+function createChooser(replicaCount: number, programCount: number): CostReplicaChooser {
   let seed = 1;
   const chooser = new CostReplicaChooser({
     batchDelayMillisecondsPerToken: 0.06,
     callMilliseconds: 4_000,
-    maxPrefixes: programs * PREFIXES_PER_PROGRAM,
+    maxPrefixes: programCount * PREFIXES_PER_PROGRAM,
     prefillMillisecondsPerToken: 0.17,
     random: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647,
     sharingMilliseconds: 50,
@@ -68,7 +72,10 @@
     zoneMilliseconds: 2,
   });
   chooser.update(
-    Array.from({ length: replicas }, (_, index) => ({ id: replicaId(index), zone: zoneOf(index) })),
+    Array.from({ length: replicaCount }, (_, index) => ({
+      id: replicaId(index),
+      zone: zoneOf(index),
+    })),
   );
   return chooser;
 }
@@ -78,20 +85,20 @@
 }
 
 function zoneOf(index: number): AvailabilityZone {
-  return `zone-${index % ZONES}` as AvailabilityZone;
+  return `zone-${index % ZONE_COUNT}` as AvailabilityZone;
 }
 
-function chainOf(program: number): readonly PromptPrefix[] {
-  return Array.from({ length: PREFIXES_PER_PROGRAM }, (_, turn) => ({
-    digest: `program-${program}/${turn}` as PrefixDigest,
-    tokens: (turn + 1) * TOKENS_PER_PREFIX,
+function createPrefixChain(programIndex: number): readonly PromptPrefix[] {
+  return Array.from({ length: PREFIXES_PER_PROGRAM }, (_, position) => ({
+    digest: `program-${programIndex}/${position}` as PrefixDigest,
+    tokens: (position + 1) * TOKENS_PER_PREFIX,
   }));
 }
 
-function requestOf(program: number): PlacementRequest {
+function createRequest(programIndex: number): PlacementRequest {
   return {
     excluded: new Set(),
-    prefixes: chainOf(program),
+    prefixes: createPrefixChain(programIndex),
     promptTokens: (PREFIXES_PER_PROGRAM + 1) * TOKENS_PER_PREFIX,
   };
 }
--- a/packages/stand-ins/src/benchmarks/gossipBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/gossipBenchmark.ts
@@ -5,51 +5,51 @@
 
 import type { Benchmark, BenchmarkResult } from './benchmark.js';
 
-import { heapInUse, measureOperation } from './measureOperation.js';
+import { measureHeapBytes, measureOperation } from './measureOperation.js';
 
-const INSTANCE_SIZES = [4, 38, 380];
+const INSTANCE_COUNTS = [4, 38, 380];
 const GROUP_SIZES = [10, 100, 1_000];
-const TOLD_WORKSPACES = 64;
-const OPERATIONS = 5_000;
-const GROUPS = 500;
-const PAYLOAD = 'x'.repeat(300);
+const WORKSPACES_PER_MESSAGE = 64;
+const MERGE_COUNT = 5_000;
+const GROUP_COUNT = 500;
+const RECORD_PAYLOAD = 'x'.repeat(300);
 
-/** Merges of the use by workspace that other instances tell, and encoding of log groups. */
+/** Measures merging the use by workspace that other instances announce, and encoding log groups. */
 export class GossipBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
-    return [...INSTANCE_SIZES.map(measureMerge), ...GROUP_SIZES.map(measureEncode)];
+    return [...INSTANCE_COUNTS.map(measureMerge), ...GROUP_SIZES.map(measureEncoding)];
   }
 }
 
 function measureMerge(size: number): BenchmarkResult {
-  const heapBefore = heapInUse();
-  const use = new WorkspaceUse(() => undefined);
+  const heapBefore = measureHeapBytes();
+  const workspaceUse = new WorkspaceUse(() => undefined);
   const workspaces = Array.from(
-    { length: TOLD_WORKSPACES },
+    { length: WORKSPACES_PER_MESSAGE },
     (_, index) => `workspace-${index}` as WorkspaceName,
   );
-  const hear = (index: number): void => {
-    use.applyTotals(
+  const mergeTotals = (index: number): void => {
+    workspaceUse.applyTotals(
       `instance-${index % size}` as IncarnationId,
       workspaces.map(workspace => ({ tokens: index, workspace })),
     );
   };
   for (let index = 0; index < size; index++) {
-    hear(index);
+    mergeTotals(index);
   }
-  const keptBytesPerUnit = (heapInUse() - heapBefore) / size;
-  const cost = measureOperation(OPERATIONS, hear);
-  const operation = `gossip merge of ${TOLD_WORKSPACES} workspaces`;
-  return { cost, dimension: 'instances', keptBytesPerUnit, operation, size };
+  const retainedBytesPerUnit = (measureHeapBytes() - heapBefore) / size;
+  const cost = measureOperation(MERGE_COUNT, mergeTotals);
+  const operation = `gossip merge of ${WORKSPACES_PER_MESSAGE} workspaces`;
+  return { cost, dimension: 'instances', retainedBytesPerUnit, operation, size };
 }
 
-function measureEncode(size: number): BenchmarkResult {
+function measureEncoding(size: number): BenchmarkResult {
   const records = Array.from({ length: size }, (_, index) => ({
     epoch: 1 as Epoch,
-    payload: PAYLOAD,
+    payload: RECORD_PAYLOAD,
     shard: index as ShardId,
   }));
-  const cost = measureOperation(GROUPS, () => {
+  const cost = measureOperation(GROUP_COUNT, () => {
     encodeGroup(records);
   });
   return {
@@ -58,7 +58,7 @@
       nanoseconds: cost.nanoseconds / size,
     },
     dimension: 'records a group',
-    keptBytesPerUnit: undefined,
+    retainedBytesPerUnit: undefined,
     operation: 'log append, encoding of one record',
     size,
   };
--- a/packages/stand-ins/src/benchmarks/main.ts
+++ b/packages/stand-ins/src/benchmarks/main.ts
@@ -20,23 +20,38 @@
   new GossipBenchmark(),
 ];
 
-const header = ['operation', 'against', 'size', 'ns', 'bytes allocated', 'bytes kept per unit'];
+const columnTitles = [
+  'operation',
+  'against',
+  'size',
+  'ns',
+  'bytes allocated',
+  'bytes kept per unit',
+];
 
-function format({ cost, dimension, keptBytesPerUnit, operation, size }: BenchmarkResult): string {
+function formatRow({
+  cost,
+  dimension,
+  retainedBytesPerUnit,
+  operation,
+  size,
+}: BenchmarkResult): string {
   const cells = [
     operation,
     dimension,
     size,
     cost.nanoseconds.toFixed(0),
     cost.allocatedBytes.toFixed(0),
-    keptBytesPerUnit?.toFixed(0) ?? '-',
+    retainedBytesPerUnit?.toFixed(0) ?? '-',
   ];
   return `| ${cells.join(' | ')} |`;
 }
 
-process.stdout.write(`| ${header.join(' | ')} |\n| ${header.map(() => '---').join(' | ')} |\n`);
+process.stdout.write(
+  `| ${columnTitles.join(' | ')} |\n| ${columnTitles.map(() => '---').join(' | ')} |\n`,
+);
 for (const benchmark of benchmarks) {
   for (const result of benchmark.run()) {
-    process.stdout.write(`${format(result)}\n`);
+    process.stdout.write(`${formatRow(result)}\n`);
   }
 }
--- a/packages/stand-ins/src/benchmarks/measureOperation.ts
+++ b/packages/stand-ins/src/benchmarks/measureOperation.ts
@@ -1,7 +1,7 @@
-/** What one operation costs. */
+/** Cost of one operation. */
 export interface OperationCost {
   readonly nanoseconds: number;
-  /** Bytes of heap that each operation allocated, before any collection. */
+  /** Heap bytes that each operation allocates, before any garbage collection. */
   readonly allocatedBytes: number;
 }
 
@@ -9,48 +9,51 @@
 const WARM_UP_SHARE = 0.2;
 const NANOSECONDS_PER_MILLISECOND = 1e6;
 
-/** Collects garbage, where the process was started with `--expose-gc`. */
+/** Runs the garbage collector if the process exposes it (`--expose-gc`). */
 export function collectGarbage(): void {
   globalThis.gc?.();
 }
 
-/** Bytes of heap in use after a collection. */
-export function heapInUse(): number {
+/** Returns the heap bytes in use after a garbage collection. */
+export function measureHeapBytes(): number {
   collectGarbage();
   return process.memoryUsage().heapUsed;
 }
 
 /**
- * Measures an operation: the median over several rounds of the time of one, and the bytes that one
- * allocates.
+ * Measures the time and the allocated bytes of one operation, each as the median over several
+ * rounds.
  *
  * @example
  * measureOperation(10_000, index => queue.push(items[index], 0));
  */
 export function measureOperation(
-  operations: number,
+  operationCount: number,
   operation: (index: number) => void,
 ): OperationCost {
   let index = 0;
-  const runMany = (count: number): void => {
+  const runOperations = (count: number): void => {
     for (let done = 0; done < count; done++) {
       operation(index++);
     }
   };
-  runMany(Math.ceil(operations * WARM_UP_SHARE));
-  const perRound = Math.ceil(operations / ROUNDS);
-  const times: number[] = [];
-  const allocations: number[] = [];
+  runOperations(Math.ceil(operationCount * WARM_UP_SHARE));
+  const operationsPerRound = Math.ceil(operationCount / ROUNDS);
+  const nanosecondsPerOperation: number[] = [];
+  const bytesPerOperation: number[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     collectGarbage();
     const heapBefore = process.memoryUsage().heapUsed;
     const startedAt = performance.now();
-    runMany(perRound);
+    runOperations(operationsPerRound);
     const elapsed = performance.now() - startedAt;
-    times.push((elapsed * NANOSECONDS_PER_MILLISECOND) / perRound);
-    allocations.push((process.memoryUsage().heapUsed - heapBefore) / perRound);
+    nanosecondsPerOperation.push((elapsed * NANOSECONDS_PER_MILLISECOND) / operationsPerRound);
+    bytesPerOperation.push((process.memoryUsage().heapUsed - heapBefore) / operationsPerRound);
   }
-  return { allocatedBytes: Math.max(0, median(allocations)), nanoseconds: median(times) };
+  return {
+    allocatedBytes: Math.max(0, median(bytesPerOperation)),
+    nanoseconds: median(nanosecondsPerOperation),
+  };
 }
 
 function median(values: readonly number[]): number {
--- a/packages/stand-ins/src/benchmarks/queueBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/queueBenchmark.ts
@@ -5,67 +5,69 @@
 
 import type { Benchmark, BenchmarkResult } from './benchmark.js';
 
-import { heapInUse, measureOperation } from './measureOperation.js';
+import { measureHeapBytes, measureOperation } from './measureOperation.js';
 
-const PROGRAM_SIZES = [700, 7_000, 70_000, 700_000];
-const WORKSPACE_SIZES = [15, 150, 1_500];
-const PROGRAMS_WITH_MANY_WORKSPACES = 70_000;
-const WORKSPACES_WITH_MANY_PROGRAMS = 1_500;
-const OPERATIONS = 100_000;
-/** A prime step through attained service, so that keys are well mixed. */
-const ATTAINED_STEP = 7_919;
-const ATTAINED_RANGE = 100_000;
+const PROGRAM_COUNTS = [700, 7_000, 70_000, 700_000];
+const WORKSPACE_COUNTS = [15, 150, 1_500];
+/** Number of waiting programs while the number of workspaces varies. */
+const FIXED_PROGRAM_COUNT = 70_000;
+/** Number of workspaces while the number of waiting programs varies. */
+const FIXED_WORKSPACE_COUNT = 1_500;
+const OPERATION_COUNT = 100_000;
+/** Prime step between the attained tokens of consecutive items, which mixes the queue keys well. */
+const ATTAINED_TOKENS_STEP = 7_919;
+const ATTAINED_TOKENS_RANGE = 100_000;
 
-/** Pushes and pops of the fair queue, with a standing backlog. */
+/** Measures pushes to and pops from the fair queue with a constant backlog. */
 export class QueueBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
     return [
-      ...PROGRAM_SIZES.map(size =>
-        measureQueue('programs waiting', size, WORKSPACES_WITH_MANY_PROGRAMS, size),
-      ),
-      ...WORKSPACE_SIZES.map(size =>
-        measureQueue('workspaces', PROGRAMS_WITH_MANY_WORKSPACES, size, size),
+      ...PROGRAM_COUNTS.map(size =>
+        measureQueue('programs waiting', size, FIXED_WORKSPACE_COUNT, size),
       ),
+      ...WORKSPACE_COUNTS.map(size => measureQueue('workspaces', FIXED_PROGRAM_COUNT, size, size)),
     ];
   }
 }
 
 function measureQueue(
   dimension: string,
-  programs: number,
-  workspaces: number,
+  programCount: number,
+  workspaceCount: number,
   size: number,
 ): BenchmarkResult {
-  const items = Array.from({ length: programs }, (_, index) => createItem(index, workspaces));
-  const heapBefore = heapInUse();
+  const items = Array.from({ length: programCount }, (_, index) =>
+    createItem(index, workspaceCount),
+  );
+  const heapBefore = measureHeapBytes();
   const queue = new FairWorkQueue({
-    maxItems: programs + OPERATIONS,
-    maxItemsPerWorkspace: programs + OPERATIONS,
+    maxItems: programCount + OPERATION_COUNT,
+    maxItemsPerWorkspace: programCount + OPERATION_COUNT,
     weightOf: () => 1,
   });
   for (const [index, item] of items.entries()) {
     queue.push(item, index);
   }
-  const keptBytes = heapInUse() - heapBefore;
-  const cost = measureOperation(OPERATIONS, index => {
+  const retainedBytes = measureHeapBytes() - heapBefore;
+  const cost = measureOperation(OPERATION_COUNT, index => {
     const item = queue.pop(index, () => true);
     if (item !== undefined) {
       queue.settle(item.id, item.estimatedTokens);
-      // A new id: a map that deletes and adds one key again and again chains its deleted places.
-      queue.push({ ...item, id: `again-${index}` as WorkId }, programs + index);
+      // A new id: a Map in which one key is repeatedly deleted and added chains its deleted entries.
+      queue.push({ ...item, id: `again-${index}` as WorkId }, programCount + index);
     }
   });
-  const keptBytesPerUnit = dimension === 'workspaces' ? undefined : keptBytes / size;
-  return { cost, dimension, keptBytesPerUnit, operation: 'queue pop, settle, push', size };
+  const retainedBytesPerUnit = dimension === 'workspaces' ? undefined : retainedBytes / size;
+  return { cost, dimension, retainedBytesPerUnit, operation: 'queue pop, settle, push', size };
 }
 
-function createItem(index: number, workspaces: number): QueueItem {
+function createItem(index: number, workspaceCount: number): QueueItem {
   return {
-    attainedTokens: (index * ATTAINED_STEP) % ATTAINED_RANGE,
+    attainedTokens: (index * ATTAINED_TOKENS_STEP) % ATTAINED_TOKENS_RANGE,
     deadline: undefined,
     estimatedTokens: 500 + (index % 1_000),
     id: `work-${index}` as WorkId,
     program: `program-${index}` as ProgramId,
-    workspace: `workspace-${index % workspaces}` as WorkspaceName,
+    workspace: `workspace-${index % workspaceCount}` as WorkspaceName,
   };
 }
--- a/packages/stand-ins/src/benchmarks/retryBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/retryBenchmark.ts
@@ -5,21 +5,21 @@
 
 import type { Benchmark, BenchmarkResult } from './benchmark.js';
 
-import { heapInUse, measureOperation } from './measureOperation.js';
+import { measureHeapBytes, measureOperation } from './measureOperation.js';
 
-const BODY_SIZES = [100, 1_000, 10_000, 100_000];
-const INSTANCE_SIZES = [4, 38, 380];
-const OPERATIONS = 200_000;
+const BODY_COUNTS = [100, 1_000, 10_000, 100_000];
+const INSTANCE_COUNTS = [4, 38, 380];
+const OPERATION_COUNT = 200_000;
 
-/** Quarantine and retry budget. */
+/** Measures look-ups in the quarantine and attempts and retries at the retry budget. */
 export class RetryBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
-    return [...BODY_SIZES.map(measureQuarantine), ...INSTANCE_SIZES.map(measureBudget)];
+    return [...BODY_COUNTS.map(measureQuarantine), ...INSTANCE_COUNTS.map(measureRetryBudget)];
   }
 }
 
 function measureQuarantine(size: number): BenchmarkResult {
-  const heapBefore = heapInUse();
+  const heapBefore = measureHeapBytes();
   const quarantine = new Quarantine({ ...defaultQuarantineOptions, maxBodies: size });
   for (let index = 0; index < size; index++) {
     quarantine.recordCrash(
@@ -32,29 +32,32 @@
       0,
     );
   }
-  const keptBytesPerUnit = (heapInUse() - heapBefore) / size;
-  const bodies = Array.from({ length: 1_000 }, (_, index) => `body-${index * 7}` as BodyDigest);
-  const cost = measureOperation(OPERATIONS, index => {
-    quarantine.refusedUntil(bodies[index % bodies.length] ?? ('' as BodyDigest), index);
+  const retainedBytesPerUnit = (measureHeapBytes() - heapBefore) / size;
+  const bodyDigests = Array.from(
+    { length: 1_000 },
+    (_, index) => `body-${index * 7}` as BodyDigest,
+  );
+  const cost = measureOperation(OPERATION_COUNT, index => {
+    quarantine.refusedUntil(bodyDigests[index % bodyDigests.length] ?? ('' as BodyDigest), index);
   });
-  return { cost, dimension: 'bodies', keptBytesPerUnit, operation: 'quarantine look-up', size };
+  return { cost, dimension: 'bodies', retainedBytesPerUnit, operation: 'quarantine look-up', size };
 }
 
-function measureBudget(size: number): BenchmarkResult {
-  const budget = new RetryBudget({
+function measureRetryBudget(size: number): BenchmarkResult {
+  const retryBudget = new RetryBudget({
     instances: size,
     maxSaved: 50,
     reservePerSecond: 10,
     share: 0.1,
   });
-  const cost = measureOperation(OPERATIONS, index => {
-    budget.recordFirstAttempt();
-    budget.tryAcquireRetry(index);
+  const cost = measureOperation(OPERATION_COUNT, index => {
+    retryBudget.recordFirstAttempt();
+    retryBudget.tryAcquireRetry(index);
   });
   return {
     cost,
     dimension: 'instances',
-    keptBytesPerUnit: undefined,
+    retainedBytesPerUnit: undefined,
     operation: 'retry budget, attempt and retry',
     size,
   };
--- a/packages/stand-ins/src/benchmarks/schedulerBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/schedulerBenchmark.ts
@@ -7,18 +7,18 @@
 
 import { measureOperation } from './measureOperation.js';
 
-const REPLICA_SIZES = [12, 120, 1_200, 12_000];
-const WORKSPACES = 1_500;
-const OPERATIONS = 20_000;
+const REPLICA_COUNTS = [12, 120, 1_200, 12_000];
+const WORKSPACE_COUNT = 1_500;
+const OPERATION_COUNT = 20_000;
 const zone = 'zone-0' as AvailabilityZone;
 
-/** A whole decision: submit, choose, send and end of one call. */
+/** Measures the scheduling of one call: submission, choice of a replica, dispatch and end. */
 export class SchedulerBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
-    return REPLICA_SIZES.map(size => {
+    return REPLICA_COUNTS.map(size => {
       const scheduler = createScheduler(size);
-      const cost = measureOperation(OPERATIONS, index => {
-        scheduler.submit(itemOf(index), index);
+      const cost = measureOperation(OPERATION_COUNT, index => {
+        scheduler.submit(createItem(index), index);
         scheduler.nextWakeAt(index);
         const dispatch = scheduler.next(index);
         if (dispatch !== undefined) {
@@ -31,7 +31,7 @@
       return {
         cost,
         dimension: 'replicas',
-        keptBytesPerUnit: undefined,
+        retainedBytesPerUnit: undefined,
         operation: 'submit, next wake, next, end',
         size,
       };
@@ -39,7 +39,7 @@
   }
 }
 
-function createScheduler(replicas: number): WindowedServiceScheduler<ScheduledItem> {
+function createScheduler(replicaCount: number): WindowedServiceScheduler<ScheduledItem> {
   let seed = 1;
   const scheduler = new WindowedServiceScheduler<ScheduledItem>({
     belowShareOverflow: 2,
@@ -55,15 +55,15 @@
       zoneMilliseconds: 2,
     }),
     queue: new FairWorkQueue({
-      maxItems: OPERATIONS,
-      maxItemsPerWorkspace: OPERATIONS,
+      maxItems: OPERATION_COUNT,
+      maxItemsPerWorkspace: OPERATION_COUNT,
       weightOf: () => 1,
     }),
     suspicionMilliseconds: 2_000,
     window: { callMilliseconds: 4_000, instances: 1, maxCalls: 16, targetWaiting: 2 },
   });
   scheduler.update(
-    Array.from({ length: replicas }, (_, index) => ({
+    Array.from({ length: replicaCount }, (_, index) => ({
       id: `replica-${index}` as UpstreamId,
       zone,
     })),
@@ -71,7 +71,7 @@
   return scheduler;
 }
 
-function itemOf(index: number): ScheduledItem {
+function createItem(index: number): ScheduledItem {
   return {
     attainedTokens: 0,
     deadline: undefined,
@@ -82,6 +82,6 @@
     prefixes: [],
     program: `program-${index}` as ProgramId,
     promptTokens: 1_000,
-    workspace: `workspace-${index % WORKSPACES}` as WorkspaceName,
+    workspace: `workspace-${index % WORKSPACE_COUNT}` as WorkspaceName,
   };
 }
