--- a/packages/stand-ins/src/measurements/latency.ts
+++ b/packages/stand-ins/src/measurements/latency.ts
@@ -9,41 +9,41 @@
 import { Fleet } from '../launch/fleet.js';
 import { readProcessorSeconds } from './processorTime.js';
 
-const KEY = 'latency-key';
+const API_KEY = 'latency-key';
 const ROUNDS = 5;
 const CALLS_PER_ROUND = 100;
-const PARALLEL_PROGRAMS = 16;
-const CALLS_PER_PROGRAM = 25;
+const PARALLEL_SENDERS = 16;
+const CALLS_PER_SENDER = 25;
 const MICROSECONDS_PER_MILLISECOND = 1_000;
 
 const rules = `
 workspace utility rate=1000000 burst=1000000 # latency: load
-key clerk workspace=utility hash=${hashKey(KEY)} # latency: load
+key clerk workspace=utility hash=${hashKey(API_KEY)} # latency: load
 service minutes-llm protocol=engine timeout=30 concurrency=64 # latency: model
 service ticket-app protocol=plain idempotent=yes timeout=10 concurrency=64 # latency: tickets
 program trace services=minutes-llm,ticket-app tokens=100000000 calls=100000 # latency: programs
 `;
 
-/** One way of a call, with the latencies measured on it. */
-interface Way {
+/** One path that a call can take, with the latencies measured on it. */
+interface MeasuredPath {
   readonly name: string;
   readonly histogram: Histogram;
   readonly send: () => Promise<void>;
 }
 
-const client = new CallerClient(KEY);
+const client = new CallerClient(API_KEY);
 
 async function openProgram(instance: FleetInstance): Promise<string> {
   return await client.openWhenReady(instance.callerAddress, 'trace');
 }
 
 async function findHome(fleet: Fleet, program: string): Promise<string> {
-  const shown = await fleet.control('programs', 'show', program, '--json');
-  const { holder } = JSON.parse(shown.output) as { readonly holder: string };
+  const shownProgram = await fleet.control('programs', 'show', program, '--json');
+  const { holder } = JSON.parse(shownProgram.output) as { readonly holder: string };
   return holder;
 }
 
-/** Calls of one program, one turn after the other. */
+/** Sends calls of one program, one turn after the other. */
 class TurnSender {
   private turn = 0;
 
@@ -70,44 +70,49 @@
 async function fetchTicket(url: string): Promise<void> {
   const response = await fetch(url, {
     body: 'q',
-    headers: { authorization: `Bearer ${KEY}` },
+    headers: { authorization: `Bearer ${API_KEY}` },
     method: 'POST',
   });
   await response.text();
   if (!response.ok) {
-    throw new Error(`status ${response.status}`);
+    throw new Error(`ticket request failed with status ${response.status}`);
   }
 }
 
-async function createWays(fleet: Fleet): Promise<readonly Way[]> {
+async function createMeasuredPaths(fleet: Fleet): Promise<readonly MeasuredPath[]> {
   const [first] = fleet.instances;
-  const service = fleet.upstreams.find(upstream => upstream.service === 'ticket-app');
-  if (first === undefined || service === undefined) {
-    throw new Error('the fleet is not whole');
+  const ticketService = fleet.upstreams.find(upstream => upstream.service === 'ticket-app');
+  if (first === undefined || ticketService === undefined) {
+    throw new Error('the fleet has no instance or no ticket-app service');
   }
-  const way = (name: string, send: () => Promise<void>): Way => ({
+  const createPath = (name: string, send: () => Promise<void>): MeasuredPath => ({
     histogram: build({ numberOfSignificantValueDigits: 3 }),
     name,
     send,
   });
-  const ways = [
-    way('direct to the stand-in', async () => fetchTicket(`http://${service.standIn.address}/t`)),
-    way('plain request, one instance', async () =>
+  const paths = [
+    createPath('direct to the stand-in', async () =>
+      fetchTicket(`http://${ticketService.standIn.address}/t`),
+    ),
+    createPath('plain request, one instance', async () =>
       fetchTicket(`http://${first.callerAddress}/v1/services/ticket-app/t`),
     ),
   ];
   const program = await openProgram(first);
   const home = await findHome(fleet, program);
-  const atHome = fleet.instances.find(instance => home.startsWith(instance.id)) ?? first;
-  const other = fleet.instances.find(instance => instance !== atHome) ?? first;
-  const single = new TurnSender(atHome.callerAddress, program);
-  ways.push(way('turn of a program, one instance', async () => single.send()));
-  const distant = new TurnSender(other.callerAddress, await openProgramAt(fleet, atHome));
-  ways.push(way('turn of a program, two instances', async () => distant.send()));
-  return ways;
+  const homeInstance = fleet.instances.find(instance => home.startsWith(instance.id)) ?? first;
+  const otherInstance = fleet.instances.find(instance => instance !== homeInstance) ?? first;
+  const localSender = new TurnSender(homeInstance.callerAddress, program);
+  paths.push(createPath('turn of a program, one instance', async () => localSender.send()));
+  const forwardedSender = new TurnSender(
+    otherInstance.callerAddress,
+    await openProgramAt(fleet, homeInstance),
+  );
+  paths.push(createPath('turn of a program, two instances', async () => forwardedSender.send()));
+  return paths;
 }
 
-/** Opens programs until one has its home at the instance. */
+/** Opens programs until one has the instance as its home. */
 async function openProgramAt(fleet: Fleet, instance: FleetInstance): Promise<string> {
   for (;;) {
     const program = await openProgram(instance);
@@ -117,9 +122,9 @@
   }
 }
 
-async function measureLatency(ways: readonly Way[]): Promise<void> {
+async function measureLatency(paths: readonly MeasuredPath[]): Promise<void> {
   for (let round = 0; round < ROUNDS; round++) {
-    for (const { histogram, send } of ways) {
+    for (const { histogram, send } of paths) {
       for (let call = 0; call < CALLS_PER_ROUND; call++) {
         const startedAt = performance.now();
         await send();
@@ -130,47 +135,47 @@
   }
 }
 
-/** Requests of callers that one core of the instances serves in a second, all instances together. */
-async function measureRequestsPerCore(
+/** Measures the caller requests served per second of processor time, summed over all instances. */
+async function measureRequestsPerCoreSecond(
   fleet: Fleet,
   sendAll: () => Promise<number>,
 ): Promise<number> {
-  const before = await processorSeconds(fleet);
+  const secondsBefore = await readFleetProcessorSeconds(fleet);
   const requests = await sendAll();
-  return requests / ((await processorSeconds(fleet)) - before);
+  return requests / ((await readFleetProcessorSeconds(fleet)) - secondsBefore);
 }
 
-async function processorSeconds(fleet: Fleet): Promise<number> {
+async function readFleetProcessorSeconds(fleet: Fleet): Promise<number> {
   const seconds = await Promise.all(
     fleet.instances.map(async instance => readProcessorSeconds(instance.process.processId)),
   );
-  return seconds.reduce((sum, each) => sum + each, 0);
+  return seconds.reduce((sum, processSeconds) => sum + processSeconds, 0);
 }
 
 async function sendPlainRequests(fleet: Fleet): Promise<number> {
   const address = fleet.instances[0]?.callerAddress ?? '';
-  const senders = Array.from({ length: PARALLEL_PROGRAMS }, async () => {
-    for (let call = 0; call < CALLS_PER_PROGRAM; call++) {
+  const senders = Array.from({ length: PARALLEL_SENDERS }, async () => {
+    for (let call = 0; call < CALLS_PER_SENDER; call++) {
       await fetchTicket(`http://${address}/v1/services/ticket-app/t`);
     }
   });
   await Promise.all(senders);
-  return PARALLEL_PROGRAMS * CALLS_PER_PROGRAM;
+  return PARALLEL_SENDERS * CALLS_PER_SENDER;
 }
 
 async function sendTurns(fleet: Fleet): Promise<number> {
-  const senders = Array.from({ length: PARALLEL_PROGRAMS }, async (_, index) => {
+  const senders = Array.from({ length: PARALLEL_SENDERS }, async (_, index) => {
     const instance = fleet.instances[index % fleet.instances.length];
     if (instance === undefined) {
       return;
     }
     const sender = new TurnSender(instance.callerAddress, await openProgram(instance));
-    for (let call = 0; call < CALLS_PER_PROGRAM; call++) {
+    for (let call = 0; call < CALLS_PER_SENDER; call++) {
       await sender.send();
     }
   });
   await Promise.all(senders);
-  return PARALLEL_PROGRAMS * CALLS_PER_PROGRAM;
+  return PARALLEL_SENDERS * CALLS_PER_SENDER;
 }
 
 function print(line: string): void {
@@ -187,24 +192,28 @@
 try {
   await fleet.applyRules(rules);
   await fleet.waitUntilReady();
-  const ways = await createWays(fleet);
-  await Promise.all(ways.map(async ({ send }) => send()));
-  await measureLatency(ways);
-  const direct = ways[0]?.histogram.getValueAtPercentile(50) ?? 1;
-  for (const { histogram, name } of ways) {
-    const [median, late] = [50, 95].map(each => histogram.getValueAtPercentile(each));
-    const ratio = ((median ?? 0) / direct).toFixed(1);
-    const milliseconds = [median, late].map(each =>
+  const paths = await createMeasuredPaths(fleet);
+  await Promise.all(paths.map(async ({ send }) => send()));
+  await measureLatency(paths);
+  const directMedian = paths[0]?.histogram.getValueAtPercentile(50) ?? 1;
+  for (const { histogram, name } of paths) {
+    const [median, p95] = [50, 95].map(each => histogram.getValueAtPercentile(each));
+    const ratio = ((median ?? 0) / directMedian).toFixed(1);
+    const milliseconds = [median, p95].map(each =>
       ((each ?? 0) / MICROSECONDS_PER_MILLISECOND).toFixed(2),
     );
     print(`${name}: p50 ${milliseconds.join(' ms, p95 ')} ms, ${ratio} times the direct p50`);
   }
   await sendTurns(fleet);
   for (let round = 1; round <= ROUNDS; round++) {
-    const plain = await measureRequestsPerCore(fleet, async () => sendPlainRequests(fleet));
-    const turns = await measureRequestsPerCore(fleet, async () => sendTurns(fleet));
+    const plainPerCoreSecond = await measureRequestsPerCoreSecond(fleet, async () =>
+      sendPlainRequests(fleet),
+    );
+    const turnsPerCoreSecond = await measureRequestsPerCoreSecond(fleet, async () =>
+      sendTurns(fleet),
+    );
     print(
-      `round ${round}: ${plain.toFixed(0)} plain requests, ${turns.toFixed(0)} turns a core second`,
+      `round ${round}: ${plainPerCoreSecond.toFixed(0)} plain requests, ${turnsPerCoreSecond.toFixed(0)} turns a core second`,
     );
   }
 } finally {
--- a/packages/stand-ins/src/measurements/processorTime.ts
+++ b/packages/stand-ins/src/measurements/processorTime.ts
@@ -1,20 +1,21 @@
 import { readFile } from 'node:fs/promises';
 
-/** Ticks of the processor clock in a second, as Linux counts the time of processes. */
+/** Clock ticks per second in which Linux reports the processor time of processes. */
 const TICKS_PER_SECOND = 100;
-/** Fields of the process status after the command name: user time, then system time. */
-const USER_TIME_FIELD = 11;
-const SYSTEM_TIME_FIELD = 12;
+/** Index of the user time among the fields of `/proc/PID/stat` after the command name. */
+const USER_TIME_INDEX = 11;
+/** Index of the system time among the same fields. */
+const SYSTEM_TIME_INDEX = 12;
 
 /**
- * Processor time that a process has used, in seconds.
+ * Returns the processor time that a process has used, in seconds.
  *
  * @example
  * const before = await readProcessorSeconds(process.pid);
  */
 export async function readProcessorSeconds(processId: number): Promise<number> {
-  const status = await readFile(`/proc/${processId}/stat`, 'utf8');
-  const fields = status.slice(status.lastIndexOf(')') + 2).split(' ');
-  const ticks = Number(fields[USER_TIME_FIELD]) + Number(fields[SYSTEM_TIME_FIELD]);
+  const statLine = await readFile(`/proc/${processId}/stat`, 'utf8');
+  const fields = statLine.slice(statLine.lastIndexOf(')') + 2).split(' ');
+  const ticks = Number(fields[USER_TIME_INDEX]) + Number(fields[SYSTEM_TIME_INDEX]);
   return ticks / TICKS_PER_SECOND;
 }
