--- a/packages/stand-ins/src/benchmarks/queueBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/queueBenchmark.ts
@@ -53,7 +53,7 @@
     const item = queue.pop(index, () => true);
     if (item !== undefined) {
       queue.settle(item.id, item.estimatedTokens);
-      // A new id: a Map in which one key is repeatedly deleted and added chains its deleted entries.
+      // A new id: a Map in which one key is deleted and added repeatedly chains its deleted entries.
       queue.push({ ...item, id: `again-${index}` as WorkId }, programCount + index);
     }
   });
--- a/packages/stand-ins/src/experiments/limits/grantChecker.ts
+++ b/packages/stand-ins/src/experiments/limits/grantChecker.ts
@@ -5,8 +5,8 @@
 
 /**
  * Checks a trace of grants on the clock of the simulation, which has no drift. Every window of a
- * trace stays within rate × window + burst if and only if one bucket of that rate and burst, full at
- * the start, never goes below zero.
+ * trace stays within rate × window + burst if and only if one bucket of that rate and burst, full
+ * at the start, never goes below zero.
  */
 export class GrantChecker {
   private tokens: number;
--- a/packages/stand-ins/src/experiments/limits/mechanisms.ts
+++ b/packages/stand-ins/src/experiments/limits/mechanisms.ts
@@ -108,7 +108,7 @@
   });
 }
 
-/** Divides each rate over seats with long leases; instances lend shares and tokens to each other. */
+/** Divides each rate over seats with long leases; instances lend each other shares and tokens. */
 class EscrowMechanism implements Mechanism {
   private readonly seats: LimitSeats;
   private readonly limiter: EscrowedLimiter;
--- a/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
@@ -59,7 +59,7 @@
 const TABLE_LATENCY_MILLISECONDS = 5;
 const MAXIMUM_CLOCK_OFFSET_MILLISECONDS = 1_000_000;
 
-/** Runs a fleet in one process on manual time; only processes, messages and faults are simulated. */
+/** Fleet in one process on manual time; only processes, messages and faults are simulated. */
 export class SimulatedFleet {
   public readonly timers = new ManualTimerService();
   public readonly instances: SimulatedInstance[] = [];
