--- a/packages/stand-ins/src/experiments/policy/alternatives/deficitRoundRobinQueue.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/deficitRoundRobinQueue.ts
@@ -15,20 +15,20 @@
   readonly item: Item;
 }
 
-interface Turn<Item extends QueueItem> {
+interface WorkspaceQueue<Item extends QueueItem> {
   readonly waiting: LazyHeap<WaitingEntry<Item>>;
   deficit: number;
 }
 
-/** Tokens that a workspace gets each time its turn comes. */
+/** Tokens added to the deficit counter of a workspace in each round. */
 const QUANTUM_TOKENS = 2_000;
-/** Rounds that one pop makes at most until a deficit covers the head. */
+/** Maximum number of rounds in one pop until a deficit counter covers the head of its queue. */
 const MAX_ROUNDS = 64;
 
-/** Deficit round robin between workspaces by tokens; knows nothing of other instances. */
+/** Deficit round robin over workspaces by tokens; ignores the use at other instances. */
 export class DeficitRoundRobinQueue<Item extends QueueItem> implements WorkQueue<Item> {
-  /** In order of turn: a map keeps the order of insertion. */
-  private readonly turns = new Map<WorkspaceName, Turn<Item>>();
+  /** Queues in round-robin order, which is the order of insertion into the map. */
+  private readonly queues = new Map<WorkspaceName, WorkspaceQueue<Item>>();
   private readonly entries = new Map<WorkId, WaitingEntry<Item>>();
   private nextOrder = 0;
 
@@ -39,34 +39,34 @@
   }
 
   public push(item: Item, now: number): PushOutcome {
-    const turn = this.turns.get(item.workspace) ?? { deficit: 0, waiting: new LazyHeap() };
-    this.turns.set(item.workspace, turn);
+    const queue = this.queues.get(item.workspace) ?? { deficit: 0, waiting: new LazyHeap() };
+    this.queues.set(item.workspace, queue);
     const key = this.order.keyOf(item, now);
     const entry = { isStale: false, item, key, order: this.nextOrder++ };
-    turn.waiting.push(entry);
+    queue.waiting.push(entry);
     this.entries.set(item.id, entry);
     return 'accepted';
   }
 
   public pop(_now: number, canRun: RunnablePredicate<Item>): Item | undefined {
-    for (let round = 0; round < MAX_ROUNDS * this.turns.size; round++) {
-      const [current] = this.turns;
-      if (current === undefined) {
+    for (let round = 0; round < MAX_ROUNDS * this.queues.size; round++) {
+      const [first] = this.queues;
+      if (first === undefined) {
         return undefined;
       }
-      const [workspace, turn] = current;
-      const head = turn.waiting.peek();
+      const [workspace, queue] = first;
+      const head = queue.waiting.peek();
       if (
         head !== undefined &&
-        turn.deficit >= head.item.estimatedTokens &&
+        queue.deficit >= head.item.estimatedTokens &&
         canRun(head.item, 'at-share')
       ) {
-        return this.take(workspace, turn, head);
+        return this.removeHead(workspace, queue, head);
       }
-      this.turns.delete(workspace);
+      this.queues.delete(workspace);
       if (head !== undefined) {
-        turn.deficit = Math.min(turn.deficit + QUANTUM_TOKENS, 64 * QUANTUM_TOKENS);
-        this.turns.set(workspace, turn);
+        queue.deficit = Math.min(queue.deficit + QUANTUM_TOKENS, 64 * QUANTUM_TOKENS);
+        this.queues.set(workspace, queue);
       }
     }
     return undefined;
@@ -78,24 +78,28 @@
       return undefined;
     }
     this.entries.delete(id);
-    this.turns.get(entry.item.workspace)?.waiting.discard(entry);
+    this.queues.get(entry.item.workspace)?.waiting.discard(entry);
     return entry.item;
   }
 
   public settle(): void {
-    // The estimate stands.
+    // The estimate is not corrected by the actual cost.
   }
 
   public observeRemoteUse(): void {
-    // Each instance shares out its own work alone.
+    // Fairness covers the work of this instance only.
   }
 
-  private take(workspace: WorkspaceName, turn: Turn<Item>, head: WaitingEntry<Item>): Item {
-    turn.waiting.pop();
-    turn.deficit -= head.item.estimatedTokens;
+  private removeHead(
+    workspace: WorkspaceName,
+    queue: WorkspaceQueue<Item>,
+    head: WaitingEntry<Item>,
+  ): Item {
+    queue.waiting.pop();
+    queue.deficit -= head.item.estimatedTokens;
     this.entries.delete(head.item.id);
-    if (turn.waiting.size === 0) {
-      this.turns.delete(workspace);
+    if (queue.waiting.size === 0) {
+      this.queues.delete(workspace);
     }
     return head.item;
   }
--- a/packages/stand-ins/src/experiments/policy/alternatives/firstComeQueue.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/firstComeQueue.ts
@@ -6,7 +6,7 @@
   WorkQueue,
 } from '@zincring/scheduling';
 
-/** One queue for all workspaces, first come, first served; the head blocks the rest. */
+/** One first-come, first-served queue for all workspaces; a head that cannot run blocks it. */
 export class FirstComeQueue<Item extends QueueItem> implements WorkQueue<Item> {
   private readonly waiting = new Map<WorkId, Item>();
 
--- a/packages/stand-ins/src/experiments/policy/alternatives/loadTrackingChooser.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/loadTrackingChooser.ts
@@ -18,18 +18,19 @@
   readonly load: ReplicaLoad;
 }
 
-const FIRST_CALL_MILLISECONDS = 4_000;
+/** Duration of a call that is assumed before any has been measured at the replica. */
+const INITIAL_CALL_MILLISECONDS = 4_000;
 
-/** What the rival choosers have in common: replicas with their lagging load, and no prefixes. */
-abstract class TrackedChooser implements ReplicaChooser {
+/** Base of the alternative choosers: tracks the load of replicas from lagging reports only. */
+abstract class LoadTrackingChooser implements ReplicaChooser {
   private replicas = new Map<UpstreamId, TrackedReplica>();
 
   public update(replicas: readonly ReplicaDescription[]): void {
-    const known = this.replicas;
+    const previous = this.replicas;
     this.replicas = new Map(
       replicas.map(({ id }) => [
         id,
-        known.get(id) ?? { id, load: new ReplicaLoad(FIRST_CALL_MILLISECONDS) },
+        previous.get(id) ?? { id, load: new ReplicaLoad(INITIAL_CALL_MILLISECONDS) },
       ]),
     );
   }
@@ -61,13 +62,13 @@
   }
 
   public observeCacheChange(): void {
-    // No record of prefixes is kept.
+    // Prefixes are not recorded.
   }
 
   public suspectUntil(replica: UpstreamId, until: number): void {
-    const known = this.replicas.get(replica);
-    if (known !== undefined) {
-      known.load.suspectedUntil = until;
+    const tracked = this.replicas.get(replica);
+    if (tracked !== undefined) {
+      tracked.load.suspectedUntil = until;
     }
   }
 
@@ -78,8 +79,8 @@
   ): TrackedReplica | undefined;
 }
 
-/** Takes the replica with the fewest calls, as far as it is known. */
-export class LeastLoadedChooser extends TrackedChooser {
+/** Chooses the replica with the fewest calls according to the tracked load. */
+export class LeastLoadedChooser extends LoadTrackingChooser {
   protected select(
     candidates: readonly TrackedReplica[],
     _request: PlacementRequest,
@@ -87,8 +88,8 @@
   ): TrackedReplica | undefined {
     let best: TrackedReplica | undefined;
     for (const candidate of candidates) {
-      const isLess = candidate.load.predictedCalls < (best?.load.predictedCalls ?? Infinity);
-      if (isLess && hasCapacity(candidate.id)) {
+      const hasFewerCalls = candidate.load.predictedCalls < (best?.load.predictedCalls ?? Infinity);
+      if (hasFewerCalls && hasCapacity(candidate.id)) {
         best = candidate;
       }
     }
@@ -96,22 +97,24 @@
   }
 }
 
-/** Calls above the average that a replica may have before the next one in the ring is taken. */
-const LOAD_BOUND = 1.25;
+/** Load of a replica relative to the average from which the next replica in rank is chosen. */
+const MAXIMUM_RELATIVE_LOAD = 1.25;
 
-/** Consistent hashing of programs, by their first own prefix, with bounded load. */
-export class ConsistentHashChooser extends TrackedChooser {
+/** Consistent hashing with bounded load; the key is the first prefix after the system prompt. */
+export class ConsistentHashChooser extends LoadTrackingChooser {
   protected select(
     candidates: readonly TrackedReplica[],
     { prefixes }: PlacementRequest,
     hasCapacity: CapacityPredicate,
   ): TrackedReplica | undefined {
     const key = prefixes[1]?.digest ?? '';
-    const total = candidates.reduce((sum, { load }) => sum + load.predictedCalls, 1);
-    const bound = Math.ceil((LOAD_BOUND * total) / Math.max(1, candidates.length));
+    const totalCalls = candidates.reduce((sum, { load }) => sum + load.predictedCalls, 1);
+    const maximumCalls = Math.ceil(
+      (MAXIMUM_RELATIVE_LOAD * totalCalls) / Math.max(1, candidates.length),
+    );
     const ranked = [...candidates].sort(
       (left, right) => hash32(`${key}/${left.id}`) - hash32(`${key}/${right.id}`),
     );
-    return ranked.find(({ id, load }) => load.predictedCalls < bound && hasCapacity(id));
+    return ranked.find(({ id, load }) => load.predictedCalls < maximumCalls && hasCapacity(id));
   }
 }
--- a/packages/stand-ins/src/experiments/policy/alternatives/orders.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/orders.ts
@@ -2,17 +2,17 @@
 
 import { AttainedServiceOrder } from '@zincring/scheduling';
 
-/** Within a workspace: first come, first served. */
+/** Orders the items of a workspace first come, first served. */
 export class FirstComeOrder implements ProgramOrder {
   public keyOf(_item: QueueItem, now: number): number {
     return now;
   }
 }
 
-/** Milliseconds of waiting that outweigh one token of the turn. */
+/** Waiting time that offsets one estimated token of the turn, in milliseconds. */
 const MILLISECONDS_PER_TOKEN = 1;
 
-/** Within a workspace: the turn with the fewest tokens first, with aging. */
+/** Orders the items of a workspace by estimated tokens of the turn, fewest first, with aging. */
 export class ShortestTurnOrder implements ProgramOrder {
   public keyOf(item: QueueItem, now: number): number {
     return now + item.estimatedTokens * MILLISECONDS_PER_TOKEN;
@@ -20,20 +20,23 @@
 }
 
 const MILLISECONDS_PER_ATTAINED_TOKEN = 0.1;
-const LONGEST_HOLD_MILLISECONDS = 20_000;
+const MAXIMUM_DELAY_MILLISECONDS = 20_000;
 
-/** Within a workspace: least attained service, with age counted from the call and not the program. */
+/**
+ * Orders the items of a workspace by least attained service, with the age counted from the call and
+ * not from the program.
+ */
 export class CallAgeOrder implements ProgramOrder {
   public keyOf(item: QueueItem, now: number): number {
-    const hold = item.attainedTokens * MILLISECONDS_PER_ATTAINED_TOKEN;
-    return now + Math.min(LONGEST_HOLD_MILLISECONDS, hold);
+    const delayMilliseconds = item.attainedTokens * MILLISECONDS_PER_ATTAINED_TOKEN;
+    return now + Math.min(MAXIMUM_DELAY_MILLISECONDS, delayMilliseconds);
   }
 }
 
-/** Programs whose start is remembered, at most. */
+/** Maximum number of programs whose start is stored. */
 const MAX_PROGRAMS = 65_536;
 
-/** Within a workspace: the program that made its first call earliest. */
+/** Orders the items of a workspace by the first call of their program, earliest first. */
 export class OldestProgramOrder implements ProgramOrder {
   private readonly order = new AttainedServiceOrder({
     deadlineSlackMilliseconds: 0,
--- a/packages/stand-ins/src/experiments/policy/deployments.ts
+++ b/packages/stand-ins/src/experiments/policy/deployments.ts
@@ -1,15 +1,15 @@
 import type { AvailabilityZone, WorkspaceName } from '@zincring/core';
 
-import type { EngineSpeed } from './fleet/simulatedEngine.js';
+import type { SimulatedEngineOptions } from './fleet/simulatedEngine.js';
 
-/** Shape of a fleet. */
+/** Size and layout of a fleet. */
 export interface Deployment {
   readonly name: DeploymentName;
   readonly zones: readonly AvailabilityZone[];
   readonly instances: number;
   readonly modelReplicas: number;
   readonly plainReplicas: number;
-  /** One way, between availability zones, in milliseconds. */
+  /** One-way latency between availability zones, in milliseconds. */
   readonly zoneMilliseconds: number;
 }
 
@@ -19,10 +19,10 @@
 /** Name of a deployment. */
 export type DeploymentName = (typeof deploymentNames)[number];
 
-const zones = (...names: readonly string[]): readonly AvailabilityZone[] =>
+const toZones = (...names: readonly string[]): readonly AvailabilityZone[] =>
   names as readonly AvailabilityZone[];
 
-/** The deployments of today. */
+/** The current deployments. */
 export const deployments: Readonly<Record<DeploymentName, Deployment>> = {
   foundation: {
     instances: 13,
@@ -30,7 +30,7 @@
     name: 'foundation',
     plainReplicas: 4,
     zoneMilliseconds: 1.5,
-    zones: zones('doi-a', 'doi-b', 'doi-c'),
+    zones: toZones('doi-a', 'doi-b', 'doi-c'),
   },
   utility: {
     instances: 13,
@@ -38,11 +38,11 @@
     name: 'utility',
     plainReplicas: 6,
     zoneMilliseconds: 1,
-    zones: zones('nelson', 'castlegar', 'trail', 'kaslo'),
+    zones: toZones('nelson', 'castlegar', 'trail', 'kaslo'),
   },
 };
 
-/** Shares of the traffic by workspace: the first sends more than all others together. */
+/** Share of the traffic of each workspace; the first sends more than all others together. */
 export const workspaceShares: readonly (readonly [WorkspaceName, number])[] = [
   ['largest' as WorkspaceName, 0.55],
   ['large-1' as WorkspaceName, 0.12],
@@ -54,8 +54,8 @@
   ['small-5' as WorkspaceName, 0.046],
 ];
 
-/** Speed of the simulated engines. */
-export const engineSpeed: EngineSpeed = {
+/** Size and speed of the simulated engines. */
+export const engineOptions: SimulatedEngineOptions = {
   cacheTokens: 600_000,
   millisecondsPerPrefillToken: 0.06,
   millisecondsPerSequence: 0.2,
@@ -64,5 +64,5 @@
   stepMilliseconds: 25,
 };
 
-/** Calls that one replica of a plain service works on at a time. */
-export const PLAIN_WORKERS = 4;
+/** Number of calls that one replica of a plain service processes at a time. */
+export const WORKERS_PER_PLAIN_REPLICA = 4;
--- a/packages/stand-ins/src/experiments/policy/fleet/eventQueue.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/eventQueue.ts
@@ -7,7 +7,7 @@
 }
 
 /**
- * Virtual time: events run in order of time, then of creation.
+ * Event queue on virtual time: events run in order of time, then of creation.
  *
  * @example
  * const events = new EventQueue();
@@ -19,18 +19,18 @@
   private currentTime = 0;
   private nextOrder = 0;
 
-  /** Milliseconds from the start. */
+  /** Virtual time since the start, in milliseconds. */
   public get now(): number {
     return this.currentTime;
   }
 
-  /** Runs something later. */
+  /** Schedules a callback after a delay. */
   public after(milliseconds: number, run: () => void): void {
     const key = this.currentTime + Math.max(0, milliseconds);
     this.events.push({ isStale: false, key, order: this.nextOrder++, run });
   }
 
-  /** Runs events until a time, or until a condition holds. */
+  /** Runs all events up to a time, or until a condition holds. */
   public runUntil(time: number, isDone: () => boolean = () => false): void {
     for (let event = this.events.peek(); event !== undefined; event = this.events.peek()) {
       if (event.key > time || isDone()) {
--- a/packages/stand-ins/src/experiments/policy/fleet/measurements.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/measurements.ts
@@ -1,6 +1,6 @@
 import type { WorkspaceName } from '@zincring/core';
 
-/** A program that came to its end, or was cut off by the end of the run. */
+/** Outcome of a program that finished, or that was unfinished at the end of the run. */
 export interface ProgramOutcome {
   readonly program: string;
   readonly workspace: WorkspaceName;
@@ -9,27 +9,27 @@
   readonly isFinished: boolean;
 }
 
-/** Values that were seen, and how often. */
+/** Sample of weighted values. */
 export class Sample {
   private readonly values: number[] = [];
   private readonly weights: number[] = [];
   private totalWeight = 0;
 
-  /** Adds a value. */
+  /** Adds a value with a weight. */
   public add(value: number, weight = 1): void {
     this.values.push(value);
     this.weights.push(weight);
     this.totalWeight += weight;
   }
 
-  /** Value below which a share of the sample lies; 0 for an empty sample. */
+  /** Returns the quantile of the sample at a share from 0 to 1; 0 for an empty sample. */
   public quantile(share: number): number {
-    const order = this.values.map((_, index) => index);
-    order.sort((left, right) => (this.values[left] ?? 0) - (this.values[right] ?? 0));
-    let seen = 0;
-    for (const index of order) {
-      seen += this.weights[index] ?? 0;
-      if (seen >= share * this.totalWeight) {
+    const sortedIndexes = this.values.map((_, index) => index);
+    sortedIndexes.sort((left, right) => (this.values[left] ?? 0) - (this.values[right] ?? 0));
+    let accumulatedWeight = 0;
+    for (const index of sortedIndexes) {
+      accumulatedWeight += this.weights[index] ?? 0;
+      if (accumulatedWeight >= share * this.totalWeight) {
         return this.values[index] ?? 0;
       }
     }
@@ -37,35 +37,38 @@
   }
 }
 
-/** What one run is measured by; waits and refusals of workspaces within their rate alone. */
+/**
+ * Measurements of one run. Waiting times and refusals are recorded only for workspaces within their
+ * rate.
+ */
 export class Measurements {
   public readonly programs: ProgramOutcome[] = [];
-  public readonly queueWait = new Sample();
-  public readonly firstToken = new Sample();
-  /** Counted in steps of whole milliseconds. */
-  public readonly betweenTokens = new Map<number, number>();
-  /** Prompt tokens of the calls that ended well. */
+  public readonly queueWaitMilliseconds = new Sample();
+  public readonly firstTokenMilliseconds = new Sample();
+  /** Number of tokens by the time since the token before, in whole milliseconds. */
+  public readonly interTokenCounts = new Map<number, number>();
+  /** Prompt tokens of the calls that succeeded. */
   public promptTokens = 0;
-  /** Prompt tokens that engines computed, for calls that failed too. */
+  /** Prompt tokens that engines computed, including those of failed calls. */
   public computedTokens = 0;
-  /** Prompt tokens that one endless cache with perfect knowledge would have computed. */
+  /** Prompt tokens that would have been computed with one unbounded cache for all engines. */
   public idealTokens = 0;
   public retries = 0;
-  public refusals = 0;
+  public refusalsWithinRate = 0;
 
-  /** @param isWithinRate tells whether the service of a workspace is measured */
+  /** @param isWithinRate whether a workspace is within its rate, so that its service is measured */
   public constructor(public readonly isWithinRate: (workspace: WorkspaceName) => boolean) {}
 
-  /** Counts tokens that came a time after the ones before. */
+  /** Counts tokens by the time since the token before each of them. */
   public addTokens(count: number, milliseconds: number): void {
     const rounded = Math.round(milliseconds);
-    this.betweenTokens.set(rounded, (this.betweenTokens.get(rounded) ?? 0) + count);
+    this.interTokenCounts.set(rounded, (this.interTokenCounts.get(rounded) ?? 0) + count);
   }
 
-  /** Time between tokens that a share of them keeps, in milliseconds. */
-  public betweenTokensQuantile(share: number): number {
+  /** Returns the quantile of the time between tokens at a share from 0 to 1, in milliseconds. */
+  public interTokenMillisecondsQuantile(share: number): number {
     const sample = new Sample();
-    for (const [milliseconds, count] of this.betweenTokens) {
+    for (const [milliseconds, count] of this.interTokenCounts) {
       sample.add(milliseconds, count);
     }
     return sample.quantile(share);
--- a/packages/stand-ins/src/experiments/policy/fleet/programRun.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/programRun.ts
@@ -2,24 +2,24 @@
 
 import type { Program, SubAgent, ToolUse, Turn } from '../workload/program.js';
 import type { EventQueue } from './eventQueue.js';
-import type { SimulatedCall } from './modelCall.js';
+import type { SimulatedCall } from './simulatedCall.js';
 import type { SimulatedInstance } from './simulatedInstance.js';
 
 import { callCost } from '@zincring/scheduling';
 
 import { SYSTEM_PROMPT_TOKENS } from '../workload/generateWorkload.js';
 
-/** Answer that is expected before it is known, in tokens. */
+/** Answer length assumed in the estimate of a call, in tokens. */
 const EXPECTED_OUTPUT_TOKENS = 150;
 
-interface Chain {
+interface TurnChain {
   readonly name: string;
   readonly turns: readonly Turn[];
   readonly onEnd: () => void;
   prefixes: readonly PromptPrefix[];
 }
 
-/** What a running program works with. */
+/** Options of a {@link ProgramRun}. */
 export interface ProgramRunOptions {
   readonly program: Program;
   /** The instance that is the program's home. */
@@ -28,7 +28,7 @@
   readonly onEnd: () => void;
 }
 
-/** Runs one program turn by turn: call, tool, sub-agents, next call. */
+/** Runs one program turn by turn: model call, sub-agents, tool, next model call. */
 export class ProgramRun {
   private attainedTokens = 0;
 
@@ -38,17 +38,22 @@
   public start(): void {
     const { onEnd, program } = this.options;
     this.runTurn(
-      { name: program.id, onEnd, prefixes: this.systemPrompt(), turns: program.turns },
+      {
+        name: program.id,
+        onEnd,
+        prefixes: this.createSystemPromptPrefixes(),
+        turns: program.turns,
+      },
       0,
     );
   }
 
-  private systemPrompt(): readonly PromptPrefix[] {
+  private createSystemPromptPrefixes(): readonly PromptPrefix[] {
     const { workspace } = this.options.program;
     return [{ digest: `${workspace}-system` as PrefixDigest, tokens: SYSTEM_PROMPT_TOKENS }];
   }
 
-  private runTurn(chain: Chain, index: number): void {
+  private runTurn(chain: TurnChain, index: number): void {
     const turn = chain.turns[index];
     if (turn === undefined) {
       chain.onEnd();
@@ -58,28 +63,28 @@
       this.attainedTokens += callCost(turn.inputTokens, turn.outputTokens);
       this.runSubAgents(chain, index, turn.subAgents, () => {
         const isLast = index === chain.turns.length - 1;
-        this.useTool(isLast ? undefined : turn.tool, `${chain.name}/${index}/tool`, () => {
+        this.runTool(isLast ? undefined : turn.tool, `${chain.name}/${index}/tool`, () => {
           this.runTurn(chain, index + 1);
         });
       });
     });
   }
 
-  private callModel(chain: Chain, index: number, turn: Turn, onDone: () => void): void {
+  private callModel(chain: TurnChain, index: number, turn: Turn, onDone: () => void): void {
     const { events, home } = this.options;
     const name = `${chain.name}/${index}`;
     const historyTokens = chain.prefixes.at(-1)?.tokens ?? 0;
     const promptTokens = historyTokens + turn.inputTokens;
-    const asked = { digest: `${name}?` as PrefixDigest, tokens: promptTokens };
-    const answered = {
+    const promptPrefix = { digest: `${name}?` as PrefixDigest, tokens: promptTokens };
+    const answeredPrefix = {
       digest: `${name}!` as PrefixDigest,
       tokens: promptTokens + turn.outputTokens,
     };
-    const prefixes = [...chain.prefixes, asked];
-    chain.prefixes = [...prefixes, answered];
+    const prefixes = [...chain.prefixes, promptPrefix];
+    chain.prefixes = [...prefixes, answeredPrefix];
     home.submit({
-      ...this.callBasis(name, events.now),
-      answered,
+      ...this.createCommonFields(name, events.now),
+      answeredPrefix,
       estimatedTokens: callCost(turn.inputTokens, EXPECTED_OUTPUT_TOKENS),
       onDone,
       outputTokens: turn.outputTokens,
@@ -90,7 +95,7 @@
     });
   }
 
-  private useTool(tool: ToolUse | undefined, name: string, onDone: () => void): void {
+  private runTool(tool: ToolUse | undefined, name: string, onDone: () => void): void {
     const { events, home } = this.options;
     if (tool === undefined) {
       onDone();
@@ -102,8 +107,8 @@
         return;
       case 'service':
         home.submit({
-          ...this.callBasis(name, events.now),
-          answered: undefined,
+          ...this.createCommonFields(name, events.now),
+          answeredPrefix: undefined,
           estimatedTokens: 1,
           onDone,
           outputTokens: 0,
@@ -116,7 +121,7 @@
     }
   }
 
-  private callBasis(
+  private createCommonFields(
     name: string,
     now: number,
   ): Pick<
@@ -136,24 +141,24 @@
   }
 
   private runSubAgents(
-    parent: Chain,
+    parent: TurnChain,
     index: number,
     subAgents: readonly SubAgent[],
     onDone: () => void,
   ): void {
-    let left = subAgents.length;
-    if (left === 0) {
+    let remaining = subAgents.length;
+    if (remaining === 0) {
       onDone();
       return;
     }
     const onEnd = (): void => {
-      if (--left === 0) {
+      if (--remaining === 0) {
         onDone();
       }
     };
-    for (const [number, agent] of subAgents.entries()) {
-      const prefixes = agent.inheritsHistory ? parent.prefixes : this.systemPrompt();
-      const name = `${parent.name}/${index}.${number}`;
+    for (const [agentIndex, agent] of subAgents.entries()) {
+      const prefixes = agent.inheritsHistory ? parent.prefixes : this.createSystemPromptPrefixes();
+      const name = `${parent.name}/${index}.${agentIndex}`;
       this.runTurn({ name, onEnd, prefixes, turns: agent.turns }, 0);
     }
   }
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedCall.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedCall.ts
@@ -1,32 +1,32 @@
 import type { PrefixChain, PromptPrefix, ScheduledItem } from '@zincring/scheduling';
 
-/** A call to a model or a plain service, as instances and upstream fakes see it. */
+/** A call to a model or a plain service, as instances and simulated upstreams process it. */
 export interface SimulatedCall extends ScheduledItem {
   readonly service: 'model' | 'plain';
   readonly outputTokens: number;
-  /** Prefix of prompt and answer together, which the next turn begins with. */
-  readonly answered: PromptPrefix | undefined;
-  /** Time that a plain service takes, in milliseconds. */
+  /** Prefix of prompt and answer together, with which the prompt of the next turn starts. */
+  readonly answeredPrefix: PromptPrefix | undefined;
+  /** Processing time of the call at a plain service, in milliseconds. */
   readonly serviceMilliseconds: number;
   readonly prefixes: PrefixChain;
   readonly onDone: () => void;
 }
 
-/** What becomes of a call at its upstream. */
+/** Callbacks by which an upstream reports the progress of a call. */
 export interface UpstreamCallbacks {
   readonly onFirstToken: () => void;
-  /** @param computedTokens prompt tokens that were not found cached */
+  /** @param computedTokens prompt tokens that were not cached */
   readonly onDone: (computedTokens: number) => void;
   readonly onFailed: (computedTokens: number) => void;
 }
 
-/** A replica under the experiment. */
+/** A simulated replica of a model or a plain service. */
 export interface SimulatedReplica {
   submit(call: SimulatedCall, priority: number, callbacks: UpstreamCallbacks): void;
-  /** Calls being computed and waiting. */
+  /** Number of calls in progress and of calls waiting. */
   readonly load: { readonly running: number; readonly waiting: number };
-  /** Fails all calls, now and later. */
-  kill(): void;
-  /** Drops what is held for a program. */
+  /** Crashes the replica: an engine fails its calls, and all later calls to any replica fail. */
+  crash(): void;
+  /** Removes the cached prefixes of a program. */
   release(program: string): void;
 }
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedEngine.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedEngine.ts
@@ -1,56 +1,56 @@
 import type { PrefixDigest } from '@zincring/scheduling';
 
 import type { EventQueue } from './eventQueue.js';
-import type { SimulatedCall, SimulatedReplica, UpstreamCallbacks } from './modelCall.js';
+import type { SimulatedCall, SimulatedReplica, UpstreamCallbacks } from './simulatedCall.js';
 
-import { PrefixMemory } from './prefixMemory.js';
+import { SimulatedPrefixCache } from './simulatedPrefixCache.js';
 
-/** Speed and size of a simulated engine. */
-export interface EngineSpeed {
-  /** Calls that are decoded together. */
+/** Size and speed of a simulated engine. */
+export interface SimulatedEngineOptions {
+  /** Maximum number of calls in a batch. */
   readonly slots: number;
-  /** Prompt tokens that one step computes at most. */
+  /** Maximum number of prompt tokens that one step computes. */
   readonly prefillTokensPerStep: number;
   readonly stepMilliseconds: number;
-  /** Added to a step for each call that is decoded in it. */
+  /** Time added to a step for each call that is decoded in it. */
   readonly millisecondsPerSequence: number;
-  /** Added to a step for each prompt token that is computed in it. */
+  /** Time added to a step for each prompt token that is computed in it. */
   readonly millisecondsPerPrefillToken: number;
   readonly cacheTokens: number;
 }
 
-/** What an experiment wants to hear of engines. */
+/** Callbacks by which an engine reports generated tokens and evicted prefixes. */
 export interface EngineObserver {
-  /** Time that a step took, for each call that got a token in it. */
+  /** Called after each step with the number of calls that got a token and the time of the step. */
   readonly onTokens: (count: number, stepMilliseconds: number) => void;
   readonly onEvicted: (digest: PrefixDigest) => void;
 }
 
-interface RunningCall {
+interface EngineCall {
   readonly call: SimulatedCall;
   readonly priority: number;
-  readonly arrival: number;
+  readonly arrivalOrder: number;
   readonly callbacks: UpstreamCallbacks;
   computedTokens: number;
-  prefillLeft: number;
-  outputLeft: number;
+  remainingPrefillTokens: number;
+  remainingOutputTokens: number;
 }
 
-/** An engine that batches continuously, computes prompts in chunks and caches prefixes. */
+/** Simulates an engine with continuous batching, chunked prefill and a prefix cache. */
 export class SimulatedEngine implements SimulatedReplica {
-  private readonly memory: PrefixMemory;
-  private waiting: RunningCall[] = [];
-  private running: RunningCall[] = [];
-  private arrivals = 0;
+  private readonly prefixCache: SimulatedPrefixCache;
+  private waiting: EngineCall[] = [];
+  private running: EngineCall[] = [];
+  private arrivalCount = 0;
   private isStepping = false;
-  private isDead = false;
+  private isCrashed = false;
 
   public constructor(
     private readonly events: EventQueue,
-    private readonly speed: EngineSpeed,
+    private readonly options: SimulatedEngineOptions,
     private readonly observer: EngineObserver,
   ) {
-    this.memory = new PrefixMemory(speed.cacheTokens, observer.onEvicted);
+    this.prefixCache = new SimulatedPrefixCache(options.cacheTokens, observer.onEvicted);
   }
 
   public get load(): { readonly running: number; readonly waiting: number } {
@@ -58,17 +58,17 @@
   }
 
   public submit(call: SimulatedCall, priority: number, callbacks: UpstreamCallbacks): void {
-    if (this.isDead) {
+    if (this.isCrashed) {
       callbacks.onFailed(0);
       return;
     }
     this.waiting.push({
-      arrival: this.arrivals++,
+      arrivalOrder: this.arrivalCount++,
       call,
       callbacks,
       computedTokens: 0,
-      outputLeft: call.outputTokens,
-      prefillLeft: 0,
+      remainingOutputTokens: call.outputTokens,
+      remainingPrefillTokens: 0,
       priority,
     });
     if (!this.isStepping) {
@@ -76,85 +76,85 @@
     }
   }
 
-  public kill(): void {
-    this.isDead = true;
-    const lost = [...this.running, ...this.waiting];
+  public crash(): void {
+    this.isCrashed = true;
+    const failedCalls = [...this.running, ...this.waiting];
     this.running = [];
     this.waiting = [];
-    for (const { callbacks, computedTokens, prefillLeft } of lost) {
-      callbacks.onFailed(computedTokens - prefillLeft);
+    for (const { callbacks, computedTokens, remainingPrefillTokens } of failedCalls) {
+      callbacks.onFailed(computedTokens - remainingPrefillTokens);
     }
   }
 
   public release(program: string): void {
-    this.memory.release(program);
+    this.prefixCache.release(program);
   }
 
   private step(): void {
-    this.fillBatch();
+    this.admitWaitingCalls();
     this.isStepping = this.running.length > 0;
     if (!this.isStepping) {
       return;
     }
-    const { speed } = this;
-    let prefillBudget = speed.prefillTokensPerStep;
-    const decoding: RunningCall[] = [];
+    const { options } = this;
+    let remainingPrefillBudget = options.prefillTokensPerStep;
+    const decoding: EngineCall[] = [];
     for (const entry of this.running) {
-      if (entry.prefillLeft === 0) {
+      if (entry.remainingPrefillTokens === 0) {
         decoding.push(entry);
         continue;
       }
-      const computed = Math.min(prefillBudget, entry.prefillLeft);
-      entry.prefillLeft -= computed;
-      prefillBudget -= computed;
+      const computed = Math.min(remainingPrefillBudget, entry.remainingPrefillTokens);
+      entry.remainingPrefillTokens -= computed;
+      remainingPrefillBudget -= computed;
     }
-    const duration =
-      speed.stepMilliseconds +
-      decoding.length * speed.millisecondsPerSequence +
-      (speed.prefillTokensPerStep - prefillBudget) * speed.millisecondsPerPrefillToken;
-    this.events.after(duration, () => {
-      this.finishStep(decoding, duration);
+    const durationMilliseconds =
+      options.stepMilliseconds +
+      decoding.length * options.millisecondsPerSequence +
+      (options.prefillTokensPerStep - remainingPrefillBudget) * options.millisecondsPerPrefillToken;
+    this.events.after(durationMilliseconds, () => {
+      this.finishStep(decoding, durationMilliseconds);
     });
   }
 
-  private finishStep(decoding: readonly RunningCall[], duration: number): void {
-    if (this.isDead) {
+  private finishStep(decoding: readonly EngineCall[], durationMilliseconds: number): void {
+    if (this.isCrashed) {
       return;
     }
-    this.observer.onTokens(decoding.length, duration);
+    this.observer.onTokens(decoding.length, durationMilliseconds);
     const finished = decoding.filter(entry => {
-      if (entry.outputLeft === entry.call.outputTokens) {
+      if (entry.remainingOutputTokens === entry.call.outputTokens) {
         entry.callbacks.onFirstToken();
       }
-      return --entry.outputLeft <= 0;
+      return --entry.remainingOutputTokens <= 0;
     });
     if (finished.length > 0) {
-      this.running = this.running.filter(entry => entry.outputLeft > 0);
+      this.running = this.running.filter(entry => entry.remainingOutputTokens > 0);
     }
     for (const { call, callbacks, computedTokens } of finished) {
-      const chain = call.answered === undefined ? [] : [call.answered];
-      this.memory.store(call.program ?? '', [...call.prefixes, ...chain]);
+      const answeredPrefixes = call.answeredPrefix === undefined ? [] : [call.answeredPrefix];
+      this.prefixCache.store(call.program ?? '', [...call.prefixes, ...answeredPrefixes]);
       callbacks.onDone(computedTokens);
     }
     this.step();
   }
 
-  private fillBatch(): void {
-    if (this.waiting.length === 0 || this.running.length >= this.speed.slots) {
+  private admitWaitingCalls(): void {
+    if (this.waiting.length === 0 || this.running.length >= this.options.slots) {
       return;
     }
     this.waiting.sort(
-      (left, right) => left.priority - right.priority || left.arrival - right.arrival,
+      (left, right) => left.priority - right.priority || left.arrivalOrder - right.arrivalOrder,
     );
-    const admitted = this.waiting.splice(0, this.speed.slots - this.running.length);
+    const admitted = this.waiting.splice(0, this.options.slots - this.running.length);
     for (const entry of admitted) {
       const { call } = entry;
-      entry.computedTokens = Math.max(1, call.promptTokens - this.memory.match(call.prefixes));
-      entry.prefillLeft = entry.computedTokens;
+      entry.computedTokens = Math.max(1, call.promptTokens - this.prefixCache.match(call.prefixes));
+      entry.remainingPrefillTokens = entry.computedTokens;
       this.running.push(entry);
     }
     this.running.sort(
-      (left, right) => left.priority - right.priority || left.arrival - right.arrival,
+      (left, right) => left.priority - right.priority || left.arrivalOrder - right.arrivalOrder,
     );
   }
 }
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
@@ -7,10 +7,10 @@
 import type { Deployment } from '../deployments.js';
 import type { PolicyName } from '../policies.js';
 import type { Program } from '../workload/program.js';
-import type { SimulatedCall } from './modelCall.js';
+import type { SimulatedCall } from './simulatedCall.js';
 import type { PlacedReplica } from './simulatedInstance.js';
 
-import { engineSpeed, PLAIN_WORKERS } from '../deployments.js';
+import { engineOptions, WORKERS_PER_PLAIN_REPLICA } from '../deployments.js';
 import { createScheduler } from '../policies.js';
 import { RandomSource } from '../../../util/randomSource.js';
 import { EventQueue } from './eventQueue.js';
@@ -20,13 +20,13 @@
 import { SimulatedInstance } from './simulatedInstance.js';
 import { SimulatedService } from './simulatedService.js';
 
-/** A run of one policy over one workload. */
-export interface FleetOptions {
+/** Options of a {@link SimulatedFleet}. */
+export interface SimulatedFleetOptions {
   readonly deployment: Deployment;
   readonly policy: PolicyName;
   readonly seed: number;
   readonly reportLagMilliseconds: number;
-  /** Model replicas that die, and when. */
+  /** Number of model replicas that crash, and the time of the crash in milliseconds. */
   readonly losses: { readonly count: number; readonly at: number } | undefined;
   readonly isWithinRate: (workspace: WorkspaceName) => boolean;
 }
@@ -35,21 +35,21 @@
 const GOSSIP_INTERVAL_MILLISECONDS = 1_000;
 const GOSSIP_LAG_MILLISECONDS = 500;
 const CACHE_EVENT_LAG_MILLISECONDS = 1_000;
-/** Share of cache events that never arrive. */
-const CACHE_EVENT_GAPS = 0.1;
-/** How far instances believe that load reports lag behind. */
+/** Share of cache events that are lost. */
+const LOST_CACHE_EVENT_SHARE = 0.1;
+/** Lag of load reports that the instances assume. */
 const ASSUMED_REPORT_LAG_MILLISECONDS = 1_000;
-/** Time until the list tells of a replica that is gone. */
-const LIST_LAG_MILLISECONDS = 3_000;
+/** Time from the crash of a replica until it is removed from the replica list. */
+const REPLICA_LIST_LAG_MILLISECONDS = 3_000;
 const RELEASE_LAG_MILLISECONDS = 500;
-const TARGET_WAITING = 2;
+const TARGET_WAITING_CALLS = 2;
 const CALL_MILLISECONDS = 4_000;
 const RETRY_SHARE = 0.1;
 const RETRY_RESERVE_PER_SECOND = 13;
-const RETRIES_SAVED = 50;
-const TOLD_WORKSPACES = 64;
+const MAXIMUM_SAVED_RETRIES = 50;
+const ANNOUNCED_WORKSPACES = 64;
 
-/** Entry instances, replicas and the programs that use them, under virtual time. */
+/** Simulates entry instances, replicas and the programs that use them on virtual time. */
 export class SimulatedFleet {
   public readonly measurements: Measurements;
   public readonly events = new EventQueue();
@@ -57,51 +57,51 @@
   private readonly instances: readonly SimulatedInstance[];
   private readonly random: RandomSource;
   private evictions: { readonly digest: PrefixDigest; readonly replica: UpstreamId }[] = [];
-  private readonly open = new Map<string, Program>();
-  private toArrive = 0;
+  private readonly openPrograms = new Map<string, Program>();
+  private pendingArrivals = 0;
 
-  public constructor(private readonly options: FleetOptions) {
+  public constructor(private readonly options: SimulatedFleetOptions) {
     this.random = new RandomSource(options.seed);
     this.measurements = new Measurements(options.isWithinRate);
     this.addReplicas();
     this.instances = Array.from({ length: options.deployment.instances }, (_, number) =>
       this.createInstance(number),
     );
-    this.listReplicas();
+    this.updateReplicaLists();
     this.every(REPORT_INTERVAL_MILLISECONDS, () => {
-      this.publishReports();
+      this.publishLoadReports();
     });
     this.every(GOSSIP_INTERVAL_MILLISECONDS, () => {
       this.gossip();
     });
-    this.planLosses();
+    this.scheduleReplicaLosses();
   }
 
-  /** Runs programs until all have ended, or until a time; the rest is counted as unfinished. */
+  /** Runs programs until all have ended, or until a time; the others are recorded as unfinished. */
   public run(programs: readonly Program[], until: number): void {
-    this.toArrive = programs.length;
+    this.pendingArrivals = programs.length;
     for (const program of programs) {
       this.events.after(program.arrivesAt, () => {
         this.startProgram(program);
       });
     }
-    this.events.runUntil(until, () => this.toArrive === 0 && this.open.size === 0);
-    for (const program of this.open.values()) {
-      this.noteProgram(program, false);
+    this.events.runUntil(until, () => this.pendingArrivals === 0 && this.openPrograms.size === 0);
+    for (const program of this.openPrograms.values()) {
+      this.recordProgram(program, false);
     }
   }
 
   private startProgram(program: Program): void {
-    this.toArrive--;
-    this.open.set(program.id, program);
+    this.pendingArrivals--;
+    this.openPrograms.set(program.id, program);
     const home = this.instances[hash32(program.id) % this.instances.length];
     if (home === undefined) {
       return;
     }
     const { events } = this;
     const onEnd = (): void => {
-      this.open.delete(program.id);
-      this.noteProgram(program, true);
+      this.openPrograms.delete(program.id);
+      this.recordProgram(program, true);
       events.after(RELEASE_LAG_MILLISECONDS, () => {
         for (const { upstream } of this.replicas.values()) {
           upstream.release(program.id);
@@ -111,7 +111,7 @@
     new ProgramRun({ events, home, onEnd, program }).start();
   }
 
-  private noteProgram({ arrivesAt, id, workspace }: Program, isFinished: boolean): void {
+  private recordProgram({ arrivesAt, id, workspace }: Program, isFinished: boolean): void {
     this.measurements.programs.push({
       arrivedAt: arrivesAt,
       isFinished,
@@ -125,7 +125,7 @@
     const { modelReplicas, plainReplicas } = this.options.deployment;
     for (let number = 0; number < modelReplicas; number++) {
       const id = `model-${number}` as UpstreamId;
-      const upstream = new SimulatedEngine(this.events, engineSpeed, {
+      const upstream = new SimulatedEngine(this.events, engineOptions, {
         onEvicted: digest => {
           this.evictions.push({ digest, replica: id });
         },
@@ -137,7 +137,7 @@
     }
     for (let number = 0; number < plainReplicas; number++) {
       const id = `plain-${number}` as UpstreamId;
-      const upstream = new SimulatedService(this.events, PLAIN_WORKERS);
+      const upstream = new SimulatedService(this.events, WORKERS_PER_PLAIN_REPLICA);
       this.replicas.set(id, { id, service: 'plain', upstream, zone: this.zoneOf(number) });
     }
   }
@@ -150,22 +150,22 @@
   private createInstance(number: number): SimulatedInstance {
     const { deployment, policy } = this.options;
     const zone = this.zoneOf(number);
-    const scheduler = (slotsPerReplica: number): ReturnType<typeof createScheduler> =>
+    const createServiceScheduler = (slotsPerReplica: number): ReturnType<typeof createScheduler> =>
       createScheduler(policy, {
-        instanceNumber: number,
+        instanceIndex: number,
         random: this.random,
         slotsPerReplica,
         window: {
           callMilliseconds: CALL_MILLISECONDS,
           instances: deployment.instances,
           maxCalls: slotsPerReplica,
-          targetWaiting: TARGET_WAITING,
+          targetWaiting: TARGET_WAITING_CALLS,
         },
         zone,
       });
     const retryBudget = new RetryBudget({
       instances: deployment.instances,
-      maxSaved: RETRIES_SAVED,
+      maxSaved: MAXIMUM_SAVED_RETRIES,
       reservePerSecond: RETRY_RESERVE_PER_SECOND,
       share: RETRY_SHARE,
     });
@@ -175,41 +175,46 @@
       measurements: this.measurements,
       replicas: this.replicas,
       retryBudget: policy === 'naive' ? undefined : retryBudget,
-      schedulers: { model: scheduler(engineSpeed.slots), plain: scheduler(PLAIN_WORKERS) },
+      schedulers: {
+        model: createServiceScheduler(engineOptions.slots),
+        plain: createServiceScheduler(WORKERS_PER_PLAIN_REPLICA),
+      },
       zone,
       zoneMilliseconds: deployment.zoneMilliseconds,
     });
   }
 
-  private listReplicas(): void {
+  private updateReplicaLists(): void {
     for (const { options } of this.instances) {
       for (const service of ['model', 'plain'] as const) {
-        const listed = [...this.replicas.values()].filter(replica => replica.service === service);
-        options.schedulers[service].update(listed);
+        const serviceReplicas = [...this.replicas.values()].filter(
+          replica => replica.service === service,
+        );
+        options.schedulers[service].update(serviceReplicas);
       }
     }
   }
 
-  private planLosses(): void {
+  private scheduleReplicaLosses(): void {
     const { losses } = this.options;
     if (losses === undefined) {
       return;
     }
-    const lost = [...this.replicas.values()].slice(0, losses.count);
+    const lostReplicas = [...this.replicas.values()].slice(0, losses.count);
     this.events.after(losses.at, () => {
-      for (const { upstream } of lost) {
-        upstream.kill();
+      for (const { upstream } of lostReplicas) {
+        upstream.crash();
       }
     });
-    this.events.after(losses.at + LIST_LAG_MILLISECONDS, () => {
-      for (const { id } of lost) {
+    this.events.after(losses.at + REPLICA_LIST_LAG_MILLISECONDS, () => {
+      for (const { id } of lostReplicas) {
         this.replicas.delete(id);
       }
-      this.listReplicas();
+      this.updateReplicaLists();
     });
   }
 
-  private publishReports(): void {
+  private publishLoadReports(): void {
     const reports = [...this.replicas.values()].map(({ id, service, upstream }) => ({
       id,
       load: upstream.load,
@@ -223,22 +228,22 @@
           const scheduler = instance.options.schedulers[service];
           scheduler.observeLoad(id, { ...load, measuredAt }, now);
         }
-        this.pumpAll(instance);
+        this.dispatchAllServices(instance);
       }
     });
   }
 
   private gossip(): void {
-    const evictions = this.evictions.filter(() => this.random.uniform() >= CACHE_EVENT_GAPS);
+    const evictions = this.evictions.filter(() => this.random.uniform() >= LOST_CACHE_EVENT_SHARE);
     this.evictions = [];
-    const told = this.instances.map(({ options, use }) => ({
+    const announcements = this.instances.map(({ options, workspaceUse }) => ({
       id: options.id,
-      totals: use.listRecentTotals(TOLD_WORKSPACES),
+      totals: workspaceUse.listRecentTotals(ANNOUNCED_WORKSPACES),
     }));
     this.events.after(GOSSIP_LAG_MILLISECONDS, () => {
-      for (const { options, use } of this.instances) {
-        for (const { id, totals } of told.filter(({ id }) => id !== options.id)) {
-          use.applyTotals(id, totals);
+      for (const { options, workspaceUse } of this.instances) {
+        for (const { id, totals } of announcements.filter(({ id }) => id !== options.id)) {
+          workspaceUse.applyTotals(id, totals);
         }
       }
     });
@@ -251,12 +256,12 @@
     });
   }
 
-  private pumpAll(instance: SimulatedInstance): void {
+  private dispatchAllServices(instance: SimulatedInstance): void {
     for (const service of [
       'model',
       'plain',
     ] as const satisfies readonly SimulatedCall['service'][]) {
-      instance.pump(service);
+      instance.dispatchReady(service);
     }
   }
 
@@ -268,8 +273,8 @@
   }
 }
 
-/** Programs of one workspace alone. */
-export function programsOf(
+/** Selects the programs of one workspace. */
+export function selectPrograms(
   programs: readonly Program[],
   workspace: WorkspaceName,
 ): readonly Program[] {
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedInstance.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedInstance.ts
@@ -5,9 +5,9 @@
 
 import type { EventQueue } from './eventQueue.js';
 import type { Measurements } from './measurements.js';
-import type { SimulatedCall, SimulatedReplica } from './modelCall.js';
+import type { SimulatedCall, SimulatedReplica } from './simulatedCall.js';
 
-/** A replica and where it is. */
+/** A replica with its service and availability zone. */
 export interface PlacedReplica {
   readonly id: UpstreamId;
   readonly zone: AvailabilityZone;
@@ -15,7 +15,7 @@
   readonly upstream: SimulatedReplica;
 }
 
-/** What an instance is made of. */
+/** Options of a {@link SimulatedInstance}. */
 export interface SimulatedInstanceOptions {
   readonly id: IncarnationId;
   readonly zone: AvailabilityZone;
@@ -25,40 +25,40 @@
   readonly replicas: ReadonlyMap<UpstreamId, PlacedReplica>;
   /** `undefined` where retries are not limited. */
   readonly retryBudget: RetryBudget | undefined;
-  /** One way, between availability zones, in milliseconds. */
+  /** One-way latency between availability zones, in milliseconds. */
   readonly zoneMilliseconds: number;
 }
 
-/** When a caller comes back after a refusal, in milliseconds. */
+/** Delay after which a caller sends a refused call again, in milliseconds. */
 const RETRY_AFTER_MILLISECONDS = 2_000;
-const WITHIN_ZONE_MILLISECONDS = 0.2;
+const WITHIN_ZONE_LATENCY_MILLISECONDS = 0.2;
 
-/** An entry instance: the real schedulers, with sends that take virtual time. */
+/** Simulates an entry instance: runs the real schedulers; sending a call takes virtual time. */
 export class SimulatedInstance {
-  public readonly use: WorkspaceUse;
-  private readonly wakeAt = new Map<SimulatedCall['service'], number>();
-  private attempts = 0;
+  public readonly workspaceUse: WorkspaceUse;
+  private readonly scheduledWakes = new Map<SimulatedCall['service'], number>();
+  private resubmissionCount = 0;
 
   public constructor(public readonly options: SimulatedInstanceOptions) {
-    this.use = new WorkspaceUse((workspace, tokens) => {
+    this.workspaceUse = new WorkspaceUse((workspace, tokens) => {
       options.schedulers.model.observeRemoteUse(workspace, tokens);
     });
   }
 
-  /** Takes a call from a program. */
+  /** Submits a call of a program; a refused call is submitted again later. */
   public submit(call: SimulatedCall): void {
     const { events, measurements, retryBudget, schedulers } = this.options;
     if (schedulers[call.service].submit(call, events.now) === 'accepted') {
       retryBudget?.recordFirstAttempt();
-      this.pump(call.service);
+      this.dispatchReady(call.service);
       return;
     }
-    measurements.refusals += measurements.isWithinRate(call.workspace) ? 1 : 0;
-    this.resendLater(call);
+    measurements.refusalsWithinRate += measurements.isWithinRate(call.workspace) ? 1 : 0;
+    this.scheduleResend(call);
   }
 
-  /** Sends whatever may be sent now. */
-  public pump(service: SimulatedCall['service']): void {
+  /** Sends all calls that the scheduler of a service allows now, and schedules its next wake-up. */
+  public dispatchReady(service: SimulatedCall['service']): void {
     const { events, schedulers } = this.options;
     const scheduler = schedulers[service];
     let next = scheduler.next(events.now);
@@ -66,19 +66,19 @@
       this.send(next);
       next = scheduler.next(events.now);
     }
-    this.wakeLater(service, scheduler.nextWakeAt(events.now));
+    this.scheduleWake(service, scheduler.nextWakeAt(events.now));
   }
 
-  private wakeLater(service: SimulatedCall['service'], at: number | undefined): void {
+  private scheduleWake(service: SimulatedCall['service'], at: number | undefined): void {
     const { events } = this.options;
-    const planned = this.wakeAt.get(service) ?? -Infinity;
-    const isPlanned = planned > events.now && planned <= (at ?? Infinity);
-    if (at === undefined || isPlanned) {
+    const scheduled = this.scheduledWakes.get(service) ?? -Infinity;
+    const isScheduled = scheduled > events.now && scheduled <= (at ?? Infinity);
+    if (at === undefined || isScheduled) {
       return;
     }
-    this.wakeAt.set(service, at);
+    this.scheduledWakes.set(service, at);
     events.after(at - events.now, () => {
-      this.pump(service);
+      this.dispatchReady(service);
     });
   }
 
@@ -88,40 +88,40 @@
     if (replica === undefined) {
       return;
     }
-    const delay = this.delayTo(replica);
+    const latencyMilliseconds = this.latencyTo(replica);
     if (item.service === 'model' && measurements.isWithinRate(item.workspace)) {
-      measurements.queueWait.add(events.now - item.enqueuedAt);
+      measurements.queueWaitMilliseconds.add(events.now - item.enqueuedAt);
     }
-    const later = (run: () => void): void => {
-      events.after(delay, run);
+    const afterLatency = (run: () => void): void => {
+      events.after(latencyMilliseconds, run);
     };
-    later(() => {
+    afterLatency(() => {
       replica.upstream.submit(item, priority, {
-        onDone: computed => {
-          later(() => {
-            this.finish(item, computed);
+        onDone: computedTokens => {
+          afterLatency(() => {
+            this.completeCall(item, computedTokens);
           });
         },
-        onFailed: computed => {
-          later(() => {
-            this.fail(item, replica.id, computed);
+        onFailed: computedTokens => {
+          afterLatency(() => {
+            this.retryCall(item, replica.id, computedTokens);
           });
         },
         onFirstToken: () => {
-          this.noteFirstToken(item, delay);
+          this.recordFirstToken(item, latencyMilliseconds);
         },
       });
     });
   }
 
-  private noteFirstToken(call: SimulatedCall, delay: number): void {
+  private recordFirstToken(call: SimulatedCall, latencyMilliseconds: number): void {
     const { events, measurements } = this.options;
     if (call.service === 'model' && measurements.isWithinRate(call.workspace)) {
-      measurements.firstToken.add(events.now + delay - call.enqueuedAt);
+      measurements.firstTokenMilliseconds.add(events.now + latencyMilliseconds - call.enqueuedAt);
     }
   }
 
-  private finish(call: SimulatedCall, computedTokens: number): void {
+  private completeCall(call: SimulatedCall, computedTokens: number): void {
     const { events, measurements, schedulers } = this.options;
     const usedTokens = callCost(computedTokens, call.outputTokens);
     schedulers[call.service].recordEnd({ end: 'succeeded', id: call.id, usedTokens }, events.now);
@@ -129,37 +129,37 @@
       measurements.computedTokens += computedTokens;
       measurements.promptTokens += call.promptTokens;
       measurements.idealTokens += call.promptTokens - (call.prefixes.at(-2)?.tokens ?? 0);
-      this.use.add(call.workspace, usedTokens);
+      this.workspaceUse.add(call.workspace, usedTokens);
     }
     call.onDone();
-    this.pump(call.service);
+    this.dispatchReady(call.service);
   }
 
-  private fail(call: SimulatedCall, replica: UpstreamId, computedTokens: number): void {
+  private retryCall(call: SimulatedCall, replica: UpstreamId, computedTokens: number): void {
     const { events, measurements, retryBudget, schedulers } = this.options;
     const report = { end: 'failed', id: call.id, usedTokens: computedTokens } as const;
     schedulers[call.service].recordEnd(report, events.now);
     measurements.computedTokens += computedTokens;
     if (retryBudget?.tryAcquireRetry(events.now) === false) {
-      this.resendLater(call);
+      this.scheduleResend(call);
       return;
     }
     measurements.retries++;
-    const id = `${call.id}+${this.attempts++}` as WorkId;
+    const id = `${call.id}+${this.resubmissionCount++}` as WorkId;
     const excluded = new Set([...call.excluded, replica]);
     schedulers[call.service].submit({ ...call, excluded, id }, events.now);
-    this.pump(call.service);
+    this.dispatchReady(call.service);
   }
 
-  private resendLater(call: SimulatedCall): void {
-    const id = `${call.id}+${this.attempts++}` as WorkId;
+  private scheduleResend(call: SimulatedCall): void {
+    const id = `${call.id}+${this.resubmissionCount++}` as WorkId;
     this.options.events.after(RETRY_AFTER_MILLISECONDS, () => {
       this.submit({ ...call, excluded: new Set(), id });
     });
   }
 
-  private delayTo(replica: PlacedReplica): number {
-    const isNear = replica.zone === this.options.zone;
-    return isNear ? WITHIN_ZONE_MILLISECONDS : this.options.zoneMilliseconds;
+  private latencyTo(replica: PlacedReplica): number {
+    const isSameZone = replica.zone === this.options.zone;
+    return isSameZone ? WITHIN_ZONE_LATENCY_MILLISECONDS : this.options.zoneMilliseconds;
   }
 }
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedPrefixCache.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedPrefixCache.ts
@@ -1,44 +1,47 @@
 import type { PrefixChain, PrefixDigest } from '@zincring/scheduling';
 
-interface HeldPrefix {
+interface CachedPrefix {
   readonly tokens: number;
   readonly program: string;
 }
 
-/** Prefixes of bounded size in an engine; what was used least recently goes first, leaves before roots. */
-export class PrefixMemory {
-  private readonly held = new Map<PrefixDigest, HeldPrefix>();
+/**
+ * Prefix cache of an engine with a bounded number of tokens. Evicts the least recently used prefix
+ * first, and the longer prefixes of a chain before the shorter ones.
+ */
+export class SimulatedPrefixCache {
+  private readonly prefixes = new Map<PrefixDigest, CachedPrefix>();
   private readonly digestsByProgram = new Map<string, Set<PrefixDigest>>();
   private usedTokens = 0;
 
-  /** @param onEvicted hears of prefixes that made room for others */
+  /** @param onEvicted called for each prefix that is evicted to make room for others */
   public constructor(
     private readonly capacityTokens: number,
     private readonly onEvicted: (digest: PrefixDigest) => void,
   ) {}
 
-  /** Tokens of the longest prefix that is held. */
+  /** Returns the tokens of the longest cached prefix of a chain and marks it as used. */
   public match(chain: PrefixChain): number {
     let tokens = 0;
-    let depth = 0;
+    let matchedCount = 0;
     for (const prefix of chain) {
-      if (!this.held.has(prefix.digest)) {
+      if (!this.prefixes.has(prefix.digest)) {
         break;
       }
       tokens = prefix.tokens;
-      depth++;
+      matchedCount++;
     }
-    for (const { digest } of chain.slice(0, depth).reverse()) {
-      const prefix = this.held.get(digest);
+    for (const { digest } of chain.slice(0, matchedCount).reverse()) {
+      const prefix = this.prefixes.get(digest);
       if (prefix !== undefined) {
-        this.held.delete(digest);
-        this.held.set(digest, prefix);
+        this.prefixes.delete(digest);
+        this.prefixes.set(digest, prefix);
       }
     }
     return tokens;
   }
 
-  /** Holds all prefixes of a chain. */
+  /** Stores all prefixes of a chain and evicts others if the capacity is exceeded. */
   public store(program: string, chain: PrefixChain): void {
     for (let index = chain.length - 1; index >= 0; index--) {
       const prefix = chain[index];
@@ -46,44 +49,44 @@
         continue;
       }
       const tokens = prefix.tokens - (chain[index - 1]?.tokens ?? 0);
-      this.hold(prefix.digest, { program: index === 0 ? '' : program, tokens });
+      this.insert(prefix.digest, { program: index === 0 ? '' : program, tokens });
     }
-    for (const [digest] of this.held) {
+    for (const [digest] of this.prefixes) {
       if (this.usedTokens <= this.capacityTokens) {
         return;
       }
-      this.drop(digest);
+      this.remove(digest);
       this.onEvicted(digest);
     }
   }
 
-  /** Drops all that is held for a program alone. */
+  /** Removes the prefixes that belong to the given program alone. */
   public release(program: string): void {
     for (const digest of this.digestsByProgram.get(program) ?? []) {
-      this.drop(digest);
+      this.remove(digest);
     }
   }
 
-  private hold(digest: PrefixDigest, prefix: HeldPrefix): void {
-    const known = this.held.get(digest);
-    if (known !== undefined) {
-      this.held.delete(digest);
-      this.held.set(digest, known);
+  private insert(digest: PrefixDigest, prefix: CachedPrefix): void {
+    const existing = this.prefixes.get(digest);
+    if (existing !== undefined) {
+      this.prefixes.delete(digest);
+      this.prefixes.set(digest, existing);
       return;
     }
-    this.held.set(digest, prefix);
+    this.prefixes.set(digest, prefix);
     this.usedTokens += prefix.tokens;
     const digests = this.digestsByProgram.get(prefix.program) ?? new Set();
     digests.add(digest);
     this.digestsByProgram.set(prefix.program, digests);
   }
 
-  private drop(digest: PrefixDigest): void {
-    const prefix = this.held.get(digest);
+  private remove(digest: PrefixDigest): void {
+    const prefix = this.prefixes.get(digest);
     if (prefix === undefined) {
       return;
     }
-    this.held.delete(digest);
+    this.prefixes.delete(digest);
     this.usedTokens -= prefix.tokens;
     const digests = this.digestsByProgram.get(prefix.program);
     digests?.delete(digest);
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedService.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedService.ts
@@ -1,11 +1,11 @@
 import type { EventQueue } from './eventQueue.js';
-import type { SimulatedCall, SimulatedReplica, UpstreamCallbacks } from './modelCall.js';
+import type { SimulatedCall, SimulatedReplica, UpstreamCallbacks } from './simulatedCall.js';
 
-/** A replica of a plain service: first come, first served, over a few workers. */
+/** Simulates a replica of a plain service: a few workers serve calls first come, first served. */
 export class SimulatedService implements SimulatedReplica {
   private readonly waiting: (() => void)[] = [];
   private running = 0;
-  private isDead = false;
+  private isCrashed = false;
 
   public constructor(
     private readonly events: EventQueue,
@@ -17,7 +17,7 @@
   }
 
   public submit(call: SimulatedCall, _priority: number, callbacks: UpstreamCallbacks): void {
-    if (this.isDead) {
+    if (this.isCrashed) {
       callbacks.onFailed(0);
       return;
     }
@@ -33,12 +33,12 @@
     this.startNext();
   }
 
-  public kill(): void {
-    this.isDead = true;
+  public crash(): void {
+    this.isCrashed = true;
   }
 
   public release(): void {
-    // A plain service keeps nothing for programs.
+    // A plain service stores nothing for programs.
   }
 
   private startNext(): void {
--- a/packages/stand-ins/src/experiments/policy/main.ts
+++ b/packages/stand-ins/src/experiments/policy/main.ts
@@ -20,62 +20,73 @@
 
 const command = yargs(hideBin(process.argv))
   .scriptName('policy-experiments')
-  .usage('$0: runs the scheduling policies on virtual time; the same seeds give the same figures')
+  .usage('$0: runs the scheduling policies on virtual time; the same seeds give the same results')
   .strict()
   .options({
-    deployment: { choices: deploymentNames, describe: 'shape of the fleet; utility by default' },
-    plots: { describe: 'directory that gets the plots', type: 'string' },
+    deployment: {
+      choices: deploymentNames,
+      describe: 'deployment to simulate; utility by default',
+    },
+    plots: { describe: 'directory to which the plots are written', type: 'string' },
     policies: {
       default: 'naive,ours',
       describe: `policies, separated by commas, or "all": ${policyNames.join(', ')}`,
       type: 'string',
     },
-    quick: { default: false, describe: 'runs of a third of the length', type: 'boolean' },
+    quick: { default: false, describe: 'run for a third of the full length', type: 'boolean' },
     scenarios: {
       default: 'all',
       describe: `scenarios, separated by commas, or "all": ${scenarioNames.join(', ')}`,
       type: 'string',
     },
     seeds: { default: 3, describe: 'number of seeds, from 1', type: 'number' },
-    threads: { default: 4, describe: 'threads that run experiments', type: 'number' },
-    slowdown: { default: true, describe: 'run each workspace alone too', type: 'boolean' },
+    threads: { default: 4, describe: 'number of threads that run experiments', type: 'number' },
+    slowdown: {
+      default: true,
+      describe: 'also run each workspace alone, to measure its slowdown',
+      type: 'boolean',
+    },
   });
 
-function select<Name extends string>(text: string, names: readonly Name[]): readonly Name[] {
-  const wanted = text.split(',').map(part => part.trim());
-  const unknown = wanted.filter(part => part !== 'all' && !names.some(name => name === part));
-  if (unknown.length > 0) {
-    throw new Error(`unknown: ${unknown.join(', ')}; known are: ${names.join(', ')}`);
+function selectNames<Name extends string>(text: string, names: readonly Name[]): readonly Name[] {
+  const requestedNames = text.split(',').map(item => item.trim());
+  const unknownNames = requestedNames.filter(
+    item => item !== 'all' && !names.some(name => name === item),
+  );
+  if (unknownNames.length > 0) {
+    throw new Error(`unknown name: ${unknownNames.join(', ')}; known names: ${names.join(', ')}`);
   }
-  return names.filter(name => wanted.includes('all') || wanted.includes(name));
+  return names.filter(name => requestedNames.includes('all') || requestedNames.includes(name));
 }
 
 function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-/** What one call of the command runs. */
+/** Runs that one invocation of the command makes. */
 interface Selection {
   readonly deployment: DeploymentName;
   readonly isQuick: boolean;
   readonly policies: readonly PolicyName[];
   readonly scenarios: readonly ScenarioName[];
   readonly seeds: number;
-  readonly comparesAlone: boolean;
+  readonly measuresSlowdown: boolean;
   readonly threads: number;
 }
 
 async function runAll(selection: Selection): Promise<readonly ResultRow[]> {
-  const { comparesAlone, deployment, isQuick, policies, scenarios, threads } = selection;
+  const { measuresSlowdown, deployment, isQuick, policies, scenarios, threads } = selection;
   const seeds = Array.from({ length: selection.seeds }, (_, index) => index + 1);
-  const cells = scenarios.flatMap(scenario => policies.map(policy => ({ policy, scenario })));
-  const jobs = cells.flatMap(cell =>
-    seeds.map(seed => ({ ...cell, comparesAlone, deployment, isQuick, seed })),
+  const combinations = scenarios.flatMap(scenario =>
+    policies.map(policy => ({ policy, scenario })),
+  );
+  const jobs = combinations.flatMap(combination =>
+    seeds.map(seed => ({ ...combination, measuresSlowdown, deployment, isQuick, seed })),
   );
-  const figures = await runJobs(jobs, threads);
-  return cells.map((cell, index) => ({
-    ...cell,
-    runs: figures.slice(index * seeds.length, (index + 1) * seeds.length),
+  const results = await runJobs(jobs, threads);
+  return combinations.map((combination, index) => ({
+    ...combination,
+    runs: results.slice(index * seeds.length, (index + 1) * seeds.length),
   }));
 }
 
@@ -85,14 +96,14 @@
 print(
   `one engine: ${capacity.callsPerSecond.toFixed(2)} calls/s; a program: ` +
     `${capacity.callsPerProgram.toFixed(2)} calls; seeds 1 to ${options.seeds}; ` +
-    `programs arrive over ${length.arrivals / MILLISECONDS_PER_SECOND} s`,
+    `programs arrive over ${length.arrivalMilliseconds / MILLISECONDS_PER_SECOND} s`,
 );
 const rows = await runAll({
-  comparesAlone: options.slowdown,
+  measuresSlowdown: options.slowdown,
   deployment: options.deployment ?? 'utility',
   isQuick: options.quick,
-  policies: select(options.policies, policyNames),
-  scenarios: select(options.scenarios, scenarioNames),
+  policies: selectNames(options.policies, policyNames),
+  scenarios: selectNames(options.scenarios, scenarioNames),
   seeds: options.seeds,
   threads: options.threads,
 });
--- a/packages/stand-ins/src/experiments/policy/naive/naiveScheduler.ts
+++ b/packages/stand-ins/src/experiments/policy/naive/naiveScheduler.ts
@@ -7,15 +7,15 @@
   WorkId,
 } from '@zincring/scheduling';
 
-/** Round robin over the listed replicas, first come, first served, without windows. */
+/** Baseline: first come, first served, round robin over the listed replicas, without windows. */
 export class NaiveScheduler<Item extends ScheduledItem> implements ServiceScheduler<Item> {
   private readonly waiting: Item[] = [];
   private replicas: readonly ReplicaDescription[] = [];
   private nextReplica: number;
 
-  /** @param start where the round begins, so that instances do not go in step */
-  public constructor(start: number) {
-    this.nextReplica = start;
+  /** @param firstReplica index of the first replica, so that instances do not go in step */
+  public constructor(firstReplica: number) {
+    this.nextReplica = firstReplica;
   }
 
   public get size(): number {
@@ -52,18 +52,18 @@
   }
 
   public recordEnd(): void {
-    // The naive version learns nothing.
+    // The baseline uses no feedback.
   }
 
   public observeLoad(): void {
-    // The naive version learns nothing.
+    // The baseline uses no feedback.
   }
 
   public observeCacheChange(): void {
-    // The naive version learns nothing.
+    // The baseline uses no feedback.
   }
 
   public observeRemoteUse(): void {
-    // The naive version learns nothing.
+    // The baseline uses no feedback.
   }
 }
--- a/packages/stand-ins/src/experiments/policy/policies.ts
+++ b/packages/stand-ins/src/experiments/policy/policies.ts
@@ -14,30 +14,33 @@
   WindowedServiceScheduler,
 } from '@zincring/scheduling';
 
-import type { SimulatedCall } from './fleet/modelCall.js';
+import type { SimulatedCall } from './fleet/simulatedCall.js';
 import type { RandomSource } from '../../util/randomSource.js';
 
 import { NaiveScheduler } from './naive/naiveScheduler.js';
-import { DeficitRoundRobinQueue } from './rivals/deficitRoundRobinQueue.js';
-import { FirstComeQueue } from './rivals/firstComeQueue.js';
+import { DeficitRoundRobinQueue } from './alternatives/deficitRoundRobinQueue.js';
+import { FirstComeQueue } from './alternatives/firstComeQueue.js';
 import {
   CallAgeOrder,
   FirstComeOrder,
   OldestProgramOrder,
   ShortestTurnOrder,
-} from './rivals/orders.js';
-import { ConsistentHashChooser, LeastLoadedChooser } from './rivals/trackedChooser.js';
+} from './alternatives/orders.js';
+import { ConsistentHashChooser, LeastLoadedChooser } from './alternatives/loadTrackingChooser.js';
 
-/** What a scheduler of one instance and service is built from. */
+/** Options and dependencies of the scheduler of one instance and service. */
 export interface PolicyContext {
   readonly zone: AvailabilityZone;
-  readonly instanceNumber: number;
+  readonly instanceIndex: number;
   readonly slotsPerReplica: number;
   readonly window: ConcurrencyWindowOptions;
   readonly random: RandomSource;
 }
 
-/** The policies that are compared: the naive version, ours, and ours with one part replaced. */
+/**
+ * Policies that are compared: `naive` is the baseline and `ours` the policy of the product; each of
+ * the others is `ours` with its order or its choice of a replica replaced.
+ */
 export const policyNames = [
   'naive',
   'ours',
@@ -77,29 +80,61 @@
 ): ServiceScheduler<SimulatedCall> {
   switch (name) {
     case 'naive':
-      return new NaiveScheduler(context.instanceNumber);
+      return new NaiveScheduler(context.instanceIndex);
     case 'ours':
-      return windowed(context, fairQueue(new AttainedServiceOrder()), costChooser(context));
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new AttainedServiceOrder()),
+        createCostChooser(context),
+      );
     case 'order: first come in all':
-      return windowed(context, new FirstComeQueue(), costChooser(context));
+      return createWindowedScheduler(context, new FirstComeQueue(), createCostChooser(context));
     case 'order: first come per workspace':
-      return windowed(context, fairQueue(new FirstComeOrder()), costChooser(context));
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new FirstComeOrder()),
+        createCostChooser(context),
+      );
     case 'order: shortest turn first':
-      return windowed(context, fairQueue(new ShortestTurnOrder()), costChooser(context));
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new ShortestTurnOrder()),
+        createCostChooser(context),
+      );
     case 'order: call age':
-      return windowed(context, fairQueue(new CallAgeOrder()), costChooser(context));
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new CallAgeOrder()),
+        createCostChooser(context),
+      );
     case 'order: oldest program first':
-      return windowed(context, fairQueue(new OldestProgramOrder()), costChooser(context));
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new OldestProgramOrder()),
+        createCostChooser(context),
+      );
     case 'order: deficit round robin':
-      return windowed(context, new DeficitRoundRobinQueue(), costChooser(context));
+      return createWindowedScheduler(
+        context,
+        new DeficitRoundRobinQueue(),
+        createCostChooser(context),
+      );
     case 'choice: consistent hashing':
-      return windowed(context, fairQueue(new AttainedServiceOrder()), new ConsistentHashChooser());
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new AttainedServiceOrder()),
+        new ConsistentHashChooser(),
+      );
     case 'choice: least loaded':
-      return windowed(context, fairQueue(new AttainedServiceOrder()), new LeastLoadedChooser());
+      return createWindowedScheduler(
+        context,
+        createFairQueue(new AttainedServiceOrder()),
+        new LeastLoadedChooser(),
+      );
   }
 }
 
-function windowed(
+function createWindowedScheduler(
   { window }: PolicyContext,
   queue: WorkQueue<SimulatedCall>,
   chooser: ReplicaChooser,
@@ -113,7 +148,7 @@
   });
 }
 
-function fairQueue(order: ProgramOrder): WorkQueue<SimulatedCall> {
+function createFairQueue(order: ProgramOrder): WorkQueue<SimulatedCall> {
   return new FairWorkQueue({
     maxItems: MAX_ITEMS,
     maxItemsPerWorkspace: MAX_ITEMS_PER_WORKSPACE,
@@ -122,7 +157,7 @@
   });
 }
 
-function costChooser({ random, slotsPerReplica, zone }: PolicyContext): ReplicaChooser {
+function createCostChooser({ random, slotsPerReplica, zone }: PolicyContext): ReplicaChooser {
   return new CostReplicaChooser({
     batchDelayMillisecondsPerToken: BATCH_DELAY_MILLISECONDS_PER_TOKEN,
     callMilliseconds: CALL_MILLISECONDS,
--- a/packages/stand-ins/src/experiments/policy/report/formatTable.ts
+++ b/packages/stand-ins/src/experiments/policy/report/formatTable.ts
@@ -1,31 +1,31 @@
-import type { ExperimentFigures } from '../runExperiment.js';
+import type { ExperimentResult } from '../runExperiment.js';
 import type { ResultRow } from './resultRow.js';
 
-import { spreadOf } from './resultRow.js';
+import { summariseMetric } from './resultRow.js';
 
-/** How a figure is shown. */
+/** Column of the table: a metric and its format. */
 interface Column {
   readonly title: string;
-  readonly figure: keyof ExperimentFigures;
+  readonly metric: keyof ExperimentResult;
   readonly digits: number;
-  /** What the figure is multiplied by, as for per cent. */
+  /** Factor by which the value is multiplied, such as for per cent. */
   readonly scale: number;
 }
 
 const columns: readonly Column[] = [
-  { digits: 1, figure: 'programP50', scale: 1, title: 'program p50 s' },
-  { digits: 1, figure: 'programP95', scale: 1, title: 'p95 s' },
-  { digits: 1, figure: 'programP99', scale: 1, title: 'p99 s' },
-  { digits: 1, figure: 'recomputedShare', scale: 100, title: 'again %' },
-  { digits: 2, figure: 'computedRatio', scale: 1, title: 'computed/ideal' },
-  { digits: 2, figure: 'worstSlowdown', scale: 1, title: 'worst slowdown' },
-  { digits: 2, figure: 'worstSlowdownP95', scale: 1, title: 'worst of p95' },
-  { digits: 0, figure: 'refusalsWithinRate', scale: 1, title: 'refusals' },
-  { digits: 2, figure: 'queueWaitP95', scale: 1, title: 'queue p95 s' },
-  { digits: 2, figure: 'firstTokenP50', scale: 1, title: 'first token p50 s' },
-  { digits: 2, figure: 'firstTokenP95', scale: 1, title: 'p95 s' },
-  { digits: 0, figure: 'betweenTokensP95', scale: 1_000, title: 'between p95 ms' },
-  { digits: 0, figure: 'unfinished', scale: 1, title: 'unfinished' },
+  { digits: 1, metric: 'programP50', scale: 1, title: 'program p50 s' },
+  { digits: 1, metric: 'programP95', scale: 1, title: 'p95 s' },
+  { digits: 1, metric: 'programP99', scale: 1, title: 'p99 s' },
+  { digits: 1, metric: 'recomputedShare', scale: 100, title: 'again %' },
+  { digits: 2, metric: 'computedRatio', scale: 1, title: 'computed/ideal' },
+  { digits: 2, metric: 'worstSlowdown', scale: 1, title: 'worst slowdown' },
+  { digits: 2, metric: 'worstSlowdownP95', scale: 1, title: 'worst of p95' },
+  { digits: 0, metric: 'refusalsWithinRate', scale: 1, title: 'refusals' },
+  { digits: 2, metric: 'queueWaitP95', scale: 1, title: 'queue p95 s' },
+  { digits: 2, metric: 'firstTokenP50', scale: 1, title: 'first token p50 s' },
+  { digits: 2, metric: 'firstTokenP95', scale: 1, title: 'p95 s' },
+  { digits: 0, metric: 'betweenTokensP95', scale: 1_000, title: 'between p95 ms' },
+  { digits: 0, metric: 'unfinished', scale: 1, title: 'unfinished' },
 ];
 
 /**
@@ -40,14 +40,14 @@
   const lines = rows.map(row => [
     row.scenario,
     row.policy,
-    ...columns.map(column => formatFigure(row, column)),
+    ...columns.map(column => formatMetric(row, column)),
   ]);
   const divider = header.map(() => '---');
   return [header, divider, ...lines].map(cells => `| ${cells.join(' | ')} |`).join('\n');
 }
 
-function formatFigure(row: ResultRow, { digits, figure, scale }: Column): string {
-  const { highest, lowest, mean } = spreadOf(row, figure);
+function formatMetric(row: ResultRow, { digits, metric, scale }: Column): string {
+  const { highest, lowest, mean } = summariseMetric(row, metric);
   if (Number.isNaN(mean)) {
     return '-';
   }
--- a/packages/stand-ins/src/experiments/policy/report/resultRow.ts
+++ b/packages/stand-ins/src/experiments/policy/report/resultRow.ts
@@ -1,29 +1,32 @@
 import type { PolicyName } from '../policies.js';
-import type { ExperimentFigures } from '../runExperiment.js';
+import type { ExperimentResult } from '../runExperiment.js';
 import type { ScenarioName } from '../scenarios.js';
 
-/** Runs of one policy under one scenario, one for each seed. */
+/** Results of one policy in one scenario, one for each seed. */
 export interface ResultRow {
   readonly scenario: ScenarioName;
   readonly policy: PolicyName;
-  readonly runs: readonly ExperimentFigures[];
+  readonly runs: readonly ExperimentResult[];
 }
 
-/** Mean of a figure over the seeds, and how far the seeds lie apart. */
-export interface Spread {
+/** Mean and range of a metric over the seeds. */
+export interface MetricSummary {
   readonly mean: number;
   readonly lowest: number;
   readonly highest: number;
 }
 
 /**
- * Mean and spread of one figure.
+ * Returns the mean and the range of one metric.
  *
  * @example
- * spreadOf(row, 'programP95').mean;
+ * summariseMetric(row, 'programP95').mean;
  */
-export function spreadOf({ runs }: ResultRow, figure: keyof ExperimentFigures): Spread {
-  const values = runs.map(run => run[figure]);
+export function summariseMetric(
+  { runs }: ResultRow,
+  metric: keyof ExperimentResult,
+): MetricSummary {
+  const values = runs.map(run => run[metric]);
   return {
     highest: Math.max(...values),
     lowest: Math.min(...values),
--- a/packages/stand-ins/src/experiments/policy/runExperiment.ts
+++ b/packages/stand-ins/src/experiments/policy/runExperiment.ts
@@ -8,32 +8,32 @@
 
 import { workspaceShares } from './deployments.js';
 import { Sample } from './fleet/measurements.js';
-import { programsOf, SimulatedFleet } from './fleet/simulatedFleet.js';
+import { selectPrograms, SimulatedFleet } from './fleet/simulatedFleet.js';
 import { generateWorkload } from './workload/generateWorkload.js';
 
-/** One run: a scenario, a policy and a seed. */
+/** Options of one run. */
 export interface ExperimentOptions {
   readonly deployment: Deployment;
   readonly scenario: Scenario;
   readonly policy: PolicyName;
   readonly seed: number;
   readonly length: RunLength;
-  /** Whether each workspace is run alone as well, for its slowdown. */
-  readonly comparesAlone: boolean;
+  /** Whether each workspace is also run alone, to measure its slowdown. */
+  readonly measuresSlowdown: boolean;
 }
 
-/** Figures of one run; times in seconds. */
-export interface ExperimentFigures {
+/** Result of one run; times in seconds. */
+export interface ExperimentResult {
   readonly programP50: number;
   readonly programP95: number;
   readonly programP99: number;
   /** Prompt tokens computed beyond the first time, as a share of all prompt tokens. */
   readonly recomputedShare: number;
-  /** Prompt tokens computed over those that one endless cache would have needed. */
+  /** Ratio of the prompt tokens computed to those needed with one unbounded cache. */
   readonly computedRatio: number;
-  /** Mean program latency of the worst-served workspace over that when it runs alone. */
+  /** Mean program latency relative to that of a run alone, for the worst-served workspace. */
   readonly worstSlowdown: number;
-  /** The same, by the 95th percentile of the programs' latency. */
+  /** The same for the 95th percentile of the program latency. */
   readonly worstSlowdownP95: number;
   readonly refusalsWithinRate: number;
   readonly queueWaitP95: number;
@@ -44,41 +44,44 @@
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
-const LARGEST = workspaceShares[0]?.[0];
+const LARGEST_WORKSPACE = workspaceShares[0]?.[0];
 
 /**
- * Runs one experiment. The same options give the same figures.
+ * Runs one experiment. The same options give the same result.
  *
  * @example
- * runExperiment({ comparesAlone: false, deployment, length, policy: 'ours', scenario, seed: 1 });
+ * runExperiment({ deployment, length, measuresSlowdown: false, policy: 'ours', scenario, seed });
  */
-export function runExperiment(options: ExperimentOptions): ExperimentFigures {
+export function runExperiment(options: ExperimentOptions): ExperimentResult {
   const { length, scenario, seed } = options;
   const programs = generateWorkload({
-    durationMilliseconds: length.arrivals,
+    durationMilliseconds: length.arrivalMilliseconds,
     loads: scenario.loads,
     seed,
   });
   const measurements = runFleet(options, programs, scenario.losses);
   const measured = measurements.programs.filter(
-    outcome => outcome.arrivedAt >= length.warmUp && isWithinRate(scenario, outcome.workspace),
+    outcome =>
+      outcome.arrivedAt >= length.warmUpMilliseconds && isWithinRate(scenario, outcome.workspace),
   );
   const latencies = new Sample();
   for (const { latencyMilliseconds } of measured) {
     latencies.add(latencyMilliseconds / MILLISECONDS_PER_SECOND);
   }
-  const slowdown = options.comparesAlone ? worstSlowdown(options, programs, measured) : noSlowdown;
+  const slowdown = options.measuresSlowdown
+    ? measureWorstSlowdown(options, programs, measured)
+    : unmeasuredSlowdown;
   return {
     ...slowdown,
-    ...tokenFigures(measurements),
-    betweenTokensP95: measurements.betweenTokensQuantile(0.95) / MILLISECONDS_PER_SECOND,
-    firstTokenP50: measurements.firstToken.quantile(0.5) / MILLISECONDS_PER_SECOND,
-    firstTokenP95: measurements.firstToken.quantile(0.95) / MILLISECONDS_PER_SECOND,
+    ...computeTokenMetrics(measurements),
+    betweenTokensP95: measurements.interTokenMillisecondsQuantile(0.95) / MILLISECONDS_PER_SECOND,
+    firstTokenP50: measurements.firstTokenMilliseconds.quantile(0.5) / MILLISECONDS_PER_SECOND,
+    firstTokenP95: measurements.firstTokenMilliseconds.quantile(0.95) / MILLISECONDS_PER_SECOND,
     programP50: latencies.quantile(0.5),
     programP95: latencies.quantile(0.95),
     programP99: latencies.quantile(0.99),
-    queueWaitP95: measurements.queueWait.quantile(0.95) / MILLISECONDS_PER_SECOND,
-    refusalsWithinRate: measurements.refusals,
+    queueWaitP95: measurements.queueWaitMilliseconds.quantile(0.95) / MILLISECONDS_PER_SECOND,
+    refusalsWithinRate: measurements.refusalsWithinRate,
     unfinished: measured.filter(outcome => !outcome.isFinished).length,
   };
 }
@@ -88,7 +91,7 @@
   readonly worstSlowdownP95: number;
 }
 
-const noSlowdown: Slowdown = { worstSlowdown: NaN, worstSlowdownP95: NaN };
+const unmeasuredSlowdown: Slowdown = { worstSlowdown: NaN, worstSlowdownP95: NaN };
 
 function runFleet(
   { deployment, length, policy, scenario, seed }: ExperimentOptions,
@@ -104,15 +107,15 @@
     reportLagMilliseconds,
     seed,
   });
-  fleet.run(programs, length.until);
+  fleet.run(programs, length.endMilliseconds);
   return fleet.measurements;
 }
 
 function isWithinRate(scenario: Scenario, workspace: WorkspaceName): boolean {
-  return !(scenario.isLargestOverRate && workspace === LARGEST);
+  return !(scenario.isLargestOverRate && workspace === LARGEST_WORKSPACE);
 }
 
-function worstSlowdown(
+function measureWorstSlowdown(
   options: ExperimentOptions,
   programs: readonly Program[],
   measured: readonly ProgramOutcome[],
@@ -122,24 +125,32 @@
     if (!isWithinRate(options.scenario, workspace)) {
       continue;
     }
-    const together = measured.filter(outcome => outcome.workspace === workspace);
-    const names = new Set(together.map(({ program }) => program));
-    const alone = runFleet(options, programsOf(programs, workspace), undefined);
-    const same = alone.programs.filter(({ program }) => names.has(program));
+    const sharedOutcomes = measured.filter(outcome => outcome.workspace === workspace);
+    const programIds = new Set(sharedOutcomes.map(({ program }) => program));
+    const aloneMeasurements = runFleet(options, selectPrograms(programs, workspace), undefined);
+    const aloneOutcomes = aloneMeasurements.programs.filter(({ program }) =>
+      programIds.has(program),
+    );
     worst = {
-      worstSlowdown: Math.max(worst.worstSlowdown, mean(together) / mean(same)),
-      worstSlowdownP95: Math.max(worst.worstSlowdownP95, tail(together) / tail(same)),
+      worstSlowdown: Math.max(
+        worst.worstSlowdown,
+        meanLatency(sharedOutcomes) / meanLatency(aloneOutcomes),
+      ),
+      worstSlowdownP95: Math.max(
+        worst.worstSlowdownP95,
+        latencyP95(sharedOutcomes) / latencyP95(aloneOutcomes),
+      ),
     };
   }
   return worst;
 }
 
-function mean(outcomes: readonly ProgramOutcome[]): number {
+function meanLatency(outcomes: readonly ProgramOutcome[]): number {
   const sum = outcomes.reduce((total, outcome) => total + outcome.latencyMilliseconds, 0);
   return sum / Math.max(1, outcomes.length);
 }
 
-function tail(outcomes: readonly ProgramOutcome[]): number {
+function latencyP95(outcomes: readonly ProgramOutcome[]): number {
   const sample = new Sample();
   for (const { latencyMilliseconds } of outcomes) {
     sample.add(latencyMilliseconds);
@@ -147,11 +158,11 @@
   return sample.quantile(0.95);
 }
 
-function tokenFigures({
+function computeTokenMetrics({
   computedTokens,
   idealTokens,
   promptTokens,
-}: Measurements): Pick<ExperimentFigures, 'computedRatio' | 'recomputedShare'> {
+}: Measurements): Pick<ExperimentResult, 'computedRatio' | 'recomputedShare'> {
   return {
     computedRatio: computedTokens / idealTokens,
     recomputedShare: (computedTokens - idealTokens) / promptTokens,
--- a/packages/stand-ins/src/experiments/policy/runJobs.ts
+++ b/packages/stand-ins/src/experiments/policy/runJobs.ts
@@ -1,41 +1,41 @@
 import { Worker } from 'node:worker_threads';
 
 import type { ExperimentJob } from './experimentJob.js';
-import type { ExperimentFigures } from './runExperiment.js';
+import type { ExperimentResult } from './runExperiment.js';
 
 /**
- * Runs jobs on several threads; the figures come in the order of the jobs and do not depend on the
+ * Runs jobs on several threads; the results are in the order of the jobs and do not depend on the
  * number of threads.
  *
  * @example
- * const figures = await runJobs(jobs, 4);
+ * const results = await runJobs(jobs, 4);
  */
 export async function runJobs(
   jobs: readonly ExperimentJob[],
-  threads: number,
-): Promise<readonly ExperimentFigures[]> {
-  const figures = new Map<number, ExperimentFigures>();
-  const waiting = [...jobs.entries()];
-  const runThread = async (): Promise<void> => {
+  threadCount: number,
+): Promise<readonly ExperimentResult[]> {
+  const results = new Map<number, ExperimentResult>();
+  const pendingJobs = [...jobs.entries()];
+  const runWorker = async (): Promise<void> => {
     const worker = new Worker(new URL('./experimentWorker.js', import.meta.url));
-    for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) {
+    for (let next = pendingJobs.shift(); next !== undefined; next = pendingJobs.shift()) {
       const [index, job] = next;
-      figures.set(index, await runOn(worker, job));
+      results.set(index, await runOnWorker(worker, job));
     }
     await worker.terminate();
   };
-  await Promise.all(Array.from({ length: threads }, runThread));
-  return [...figures].sort(([left], [right]) => left - right).map(([, each]) => each);
+  await Promise.all(Array.from({ length: threadCount }, runWorker));
+  return [...results].sort(([left], [right]) => left - right).map(([, result]) => result);
 }
 
-async function runOn(worker: Worker, job: ExperimentJob): Promise<ExperimentFigures> {
+async function runOnWorker(worker: Worker, job: ExperimentJob): Promise<ExperimentResult> {
   return await new Promise((resolve, reject) => {
-    const finish = (): void => {
+    const removeErrorListener = (): void => {
       worker.off('error', reject);
     };
-    worker.once('message', (figures: ExperimentFigures) => {
-      finish();
-      resolve(figures);
+    worker.once('message', (result: ExperimentResult) => {
+      removeErrorListener();
+      resolve(result);
     });
     worker.once('error', reject);
     worker.postMessage(job);
--- a/packages/stand-ins/src/experiments/policy/scenarios.ts
+++ b/packages/stand-ins/src/experiments/policy/scenarios.ts
@@ -18,38 +18,39 @@
 /** Name of a scenario. */
 export type ScenarioName = (typeof scenarioNames)[number];
 
-/** Sizes of a run. */
+/** Length of a run. */
 export interface RunLength {
   /** Time in which programs arrive, in milliseconds. */
-  readonly arrivals: number;
-  /** Programs that arrive earlier are not measured, in milliseconds. */
-  readonly warmUp: number;
-  /** End of the run, in milliseconds. */
-  readonly until: number;
+  readonly arrivalMilliseconds: number;
+  /** Time before which arriving programs are not measured, in milliseconds. */
+  readonly warmUpMilliseconds: number;
+  /** Time at which the run ends at the latest, in milliseconds. */
+  readonly endMilliseconds: number;
 }
 
-/** One way of loading the fleet. */
+/** Load and faults of a run. */
 export interface Scenario {
   readonly name: ScenarioName;
   readonly loads: readonly WorkspaceLoad[];
   readonly reportLagMilliseconds: number;
+  /** Number of model replicas that crash, and the time of the crash in milliseconds. */
   readonly losses: { readonly count: number; readonly at: number } | undefined;
-  /** Whether the largest workspace is beyond its rate, so that its own service is not measured. */
+  /** Whether the largest workspace exceeds its rate, so that its own service is not measured. */
   readonly isLargestOverRate: boolean;
 }
 
 const REPORT_LAG_MILLISECONDS = 1_000;
 const LATE_REPORT_LAG_MILLISECONDS = 5_000;
 const SURGE_FACTOR = 4;
-/** What workspaces other than the largest send together while that sends tenfold. */
+/** Load of the other workspaces together in `largest sends tenfold`, relative to the capacity. */
 const OTHERS_LOAD = 0.35;
-/** Multiple of its equal share of the capacity that the largest workspace then sends. */
-const TENFOLD = 10;
+/** Load of the largest workspace in that scenario, relative to an equal share of the capacity. */
+const LARGEST_LOAD_FACTOR = 10;
 
 /** Lengths of runs. */
 export const runLengths = {
-  full: { arrivals: 600_000, until: 2_400_000, warmUp: 60_000 },
-  quick: { arrivals: 200_000, until: 800_000, warmUp: 20_000 },
+  full: { arrivalMilliseconds: 600_000, endMilliseconds: 2_400_000, warmUpMilliseconds: 60_000 },
+  quick: { arrivalMilliseconds: 200_000, endMilliseconds: 800_000, warmUpMilliseconds: 20_000 },
 } as const satisfies Readonly<Record<string, RunLength>>;
 
 /**
@@ -63,56 +64,69 @@
   capacity: Capacity,
   length: RunLength,
 ): Scenario {
-  const basis: Scenario = {
+  const baseScenario: Scenario = {
     isLargestOverRate: false,
-    loads: loadsAt(0.8, capacity),
+    loads: createLoads(0.8, capacity),
     losses: undefined,
     name,
     reportLagMilliseconds: REPORT_LAG_MILLISECONDS,
   };
   switch (name) {
     case 'load 0.5':
-      return { ...basis, loads: loadsAt(0.5, capacity) };
+      return { ...baseScenario, loads: createLoads(0.5, capacity) };
     case 'load 0.8':
-      return basis;
+      return baseScenario;
     case 'load 0.95':
-      return { ...basis, loads: loadsAt(0.95, capacity) };
+      return { ...baseScenario, loads: createLoads(0.95, capacity) };
     case 'load 1.2':
-      return { ...basis, loads: loadsAt(1.2, capacity) };
+      return { ...baseScenario, loads: createLoads(1.2, capacity) };
     case 'surge of the largest':
-      return { ...basis, isLargestOverRate: true, loads: surging(basis.loads, length) };
+      return {
+        ...baseScenario,
+        isLargestOverRate: true,
+        loads: addSurge(baseScenario.loads, length),
+      };
     case 'largest sends tenfold':
-      return { ...basis, isLargestOverRate: true, loads: tenfoldLoads(capacity) };
+      return { ...baseScenario, isLargestOverRate: true, loads: createTenfoldLoads(capacity) };
     case 'two replicas lost':
-      return { ...basis, losses: { at: length.arrivals * 0.4, count: 2 } };
+      return { ...baseScenario, losses: { at: length.arrivalMilliseconds * 0.4, count: 2 } };
     case 'reports 5 s late':
-      return { ...basis, reportLagMilliseconds: LATE_REPORT_LAG_MILLISECONDS };
+      return { ...baseScenario, reportLagMilliseconds: LATE_REPORT_LAG_MILLISECONDS };
   }
 }
 
-function programsPerSecond({ callsPerProgram, callsPerSecond }: Capacity): number {
+function computeProgramCapacityPerSecond({ callsPerProgram, callsPerSecond }: Capacity): number {
   return (callsPerSecond * deployments.utility.modelReplicas) / callsPerProgram;
 }
 
-function loadsAt(load: number, capacity: Capacity): readonly WorkspaceLoad[] {
-  const rate = load * programsPerSecond(capacity);
+function createLoads(load: number, capacity: Capacity): readonly WorkspaceLoad[] {
+  const rate = load * computeProgramCapacityPerSecond(capacity);
   return workspaceShares.map(([workspace, share]) => ({
     programsPerSecond: share * rate,
     workspace,
   }));
 }
 
-function surging(loads: readonly WorkspaceLoad[], { arrivals }: RunLength): WorkspaceLoad[] {
-  const surge = { factor: SURGE_FACTOR, from: arrivals * 0.4, until: arrivals * 0.55 };
+function addSurge(
+  loads: readonly WorkspaceLoad[],
+  { arrivalMilliseconds }: RunLength,
+): WorkspaceLoad[] {
+  const surge = {
+    factor: SURGE_FACTOR,
+    from: arrivalMilliseconds * 0.4,
+    until: arrivalMilliseconds * 0.55,
+  };
   return loads.map((load, index) => (index === 0 ? { ...load, surge } : load));
 }
 
-function tenfoldLoads(capacity: Capacity): readonly WorkspaceLoad[] {
-  const rate = programsPerSecond(capacity);
-  const others = workspaceShares.length - 1;
+function createTenfoldLoads(capacity: Capacity): readonly WorkspaceLoad[] {
+  const rate = computeProgramCapacityPerSecond(capacity);
+  const otherWorkspaceCount = workspaceShares.length - 1;
   return workspaceShares.map(([workspace], index) => ({
     programsPerSecond:
-      index === 0 ? (TENFOLD * rate) / workspaceShares.length : (OTHERS_LOAD * rate) / others,
+      index === 0
+        ? (LARGEST_LOAD_FACTOR * rate) / workspaceShares.length
+        : (OTHERS_LOAD * rate) / otherWorkspaceCount,
     workspace,
   }));
 }
--- a/packages/stand-ins/src/experiments/policy/workload/generateWorkload.ts
+++ b/packages/stand-ins/src/experiments/policy/workload/generateWorkload.ts
@@ -4,15 +4,15 @@
 
 import { RandomSource } from '../../../util/randomSource.js';
 
-/** Arrivals of one workspace. */
+/** Arrival rate of the programs of one workspace. */
 export interface WorkspaceLoad {
   readonly workspace: WorkspaceName;
   readonly programsPerSecond: number;
-  /** A time in which the workspace sends a multiple of that. */
+  /** Interval, in milliseconds from the start, in which the rate is multiplied by a factor. */
   readonly surge?: { readonly from: number; readonly until: number; readonly factor: number };
 }
 
-/** What a workload is made of. */
+/** Options of {@link generateWorkload}. */
 export interface WorkloadOptions {
   readonly seed: number;
   readonly loads: readonly WorkspaceLoad[];
@@ -40,7 +40,7 @@
 const MAX_SUB_AGENTS = 3;
 const MAX_SUB_AGENT_TURNS = 4;
 
-/** Tokens of the system prompt that all programs of a workspace begin with. */
+/** Length of the system prompt that all programs of a workspace share, in tokens. */
 export const SYSTEM_PROMPT_TOKENS = 1_500;
 
 /**
@@ -52,7 +52,7 @@
  */
 export function generateWorkload(options: WorkloadOptions): readonly Program[] {
   const programs = options.loads.flatMap((load, index) =>
-    generateWorkspace(load, options, new RandomSource(options.seed * 1_000 + index)),
+    generateWorkspacePrograms(load, options, new RandomSource(options.seed * 1_000 + index)),
   );
   return programs.sort((left, right) => left.arrivesAt - right.arrivesAt);
 }
@@ -64,10 +64,10 @@
  * const turns = drawTurns(new RandomSource(1));
  */
 export function drawTurns(random: RandomSource): readonly Turn[] {
-  const count = Math.floor(random.boundedPareto(TURNS_EXPONENT, 1, MAX_TURNS + 1));
+  const turnCount = Math.floor(random.boundedPareto(TURNS_EXPONENT, 1, MAX_TURNS + 1));
   const turns: Turn[] = [];
   let historyTokens = SYSTEM_PROMPT_TOKENS;
-  while (turns.length < Math.min(MAX_TURNS, count)) {
+  while (turns.length < Math.min(MAX_TURNS, turnCount)) {
     const turn = drawTurn(random, drawSubAgents(random));
     historyTokens += turn.inputTokens + turn.outputTokens;
     if (historyTokens > MAX_HISTORY_TOKENS) {
@@ -78,19 +78,19 @@
   return turns;
 }
 
-function generateWorkspace(
+function generateWorkspacePrograms(
   { programsPerSecond, surge, workspace }: WorkspaceLoad,
   { durationMilliseconds }: WorkloadOptions,
   random: RandomSource,
 ): Program[] {
   const programs: Program[] = [];
-  const meanGap = 1_000 / programsPerSecond;
-  let arrivesAt = random.exponential(meanGap);
+  const meanIntervalMilliseconds = 1_000 / programsPerSecond;
+  let arrivesAt = random.exponential(meanIntervalMilliseconds);
   while (arrivesAt < durationMilliseconds) {
     const id = `${workspace}-${programs.length}` as ProgramId;
     programs.push({ arrivesAt, id, turns: drawTurns(random), workspace });
     const isSurging = surge !== undefined && arrivesAt >= surge.from && arrivesAt < surge.until;
-    arrivesAt += random.exponential(meanGap / (isSurging ? surge.factor : 1));
+    arrivesAt += random.exponential(meanIntervalMilliseconds / (isSurging ? surge.factor : 1));
   }
   return programs;
 }
@@ -108,11 +108,11 @@
 
 function drawTool(random: RandomSource): ToolUse {
   if (random.uniform() < SERVICE_SHARE) {
-    const drawn = random.logNormal(SERVICE_MEDIAN_MILLISECONDS, SERVICE_DEVIATION);
-    return { kind: 'service', milliseconds: Math.min(MAX_SERVICE_MILLISECONDS, drawn) };
+    const drawnMilliseconds = random.logNormal(SERVICE_MEDIAN_MILLISECONDS, SERVICE_DEVIATION);
+    return { kind: 'service', milliseconds: Math.min(MAX_SERVICE_MILLISECONDS, drawnMilliseconds) };
   }
-  const drawn = random.logNormal(PAUSE_MEDIAN_MILLISECONDS, PAUSE_DEVIATION);
-  return { kind: 'pause', milliseconds: Math.min(MAX_PAUSE_MILLISECONDS, drawn) };
+  const drawnMilliseconds = random.logNormal(PAUSE_MEDIAN_MILLISECONDS, PAUSE_DEVIATION);
+  return { kind: 'pause', milliseconds: Math.min(MAX_PAUSE_MILLISECONDS, drawnMilliseconds) };
 }
 
 function drawSubAgents(random: RandomSource): readonly SubAgent[] {
--- a/packages/stand-ins/src/experiments/policy/workload/program.ts
+++ b/packages/stand-ins/src/experiments/policy/workload/program.ts
@@ -1,38 +1,38 @@
 import type { ProgramId, WorkspaceName } from '@zincring/core';
 
-/** What a program does between two turns. */
+/** Tool that a program uses between two turns: a pause, or a call to a plain service. */
 export type ToolUse =
   | { readonly kind: 'pause'; readonly milliseconds: number }
   | { readonly kind: 'service'; readonly milliseconds: number };
 
-/** One call to the model, and what follows it. */
+/** One call to the model, and the sub-agents and tool use that follow it. */
 export interface Turn {
   /** Tokens that the turn adds to the prompt. */
   readonly inputTokens: number;
   readonly outputTokens: number;
   readonly tool: ToolUse;
-  /** Chains that run side by side after the turn; the next turn waits for all of them. */
+  /** Sub-agents that run concurrently after the turn; the next turn waits for all of them. */
   readonly subAgents: readonly SubAgent[];
 }
 
-/** A chain of turns that a program starts beside its own. */
+/** A chain of turns that a program starts in addition to its own. */
 export interface SubAgent {
-  /** Whether its prompts begin with the history of the program. */
+  /** Whether its prompts start with the history of the program. */
   readonly inheritsHistory: boolean;
   readonly turns: readonly Turn[];
 }
 
-/** An agent program. The schedulers learn of each turn only when it comes. */
+/** An agent program. The schedulers see a turn only when its call is submitted. */
 export interface Program {
   readonly id: ProgramId;
   readonly workspace: WorkspaceName;
-  /** In milliseconds from the start. */
+  /** Arrival time in milliseconds from the start. */
   readonly arrivesAt: number;
   readonly turns: readonly Turn[];
 }
 
 /**
- * Calls to the model that a chain makes, sub-agents included.
+ * Counts the calls to the model that a chain makes, including those of its sub-agents.
  *
  * @example
  * countCalls(program.turns);
--- a/packages/stand-ins/tests/policyExperiments.test.ts
+++ b/packages/stand-ins/tests/policyExperiments.test.ts
@@ -6,19 +6,19 @@
 
 import { measureCapacity } from '../src/experiments/policy/capacity.js';
 import { deployments } from '../src/experiments/policy/deployments.js';
-import { PrefixMemory } from '../src/experiments/policy/fleet/prefixMemory.js';
+import { SimulatedPrefixCache } from '../src/experiments/policy/fleet/simulatedPrefixCache.js';
 import { policyNames } from '../src/experiments/policy/policies.js';
 import { runExperiment } from '../src/experiments/policy/runExperiment.js';
 import { createScenario } from '../src/experiments/policy/scenarios.js';
 import { generateWorkload } from '../src/experiments/policy/workload/generateWorkload.js';
 
 const SEED = 1;
-const length = { arrivals: 30_000, until: 900_000, warmUp: 0 };
+const length = { arrivalMilliseconds: 30_000, endMilliseconds: 900_000, warmUpMilliseconds: 0 };
 const capacity = measureCapacity();
 
 function optionsFor(changes: Partial<ExperimentOptions> = {}): ExperimentOptions {
   return {
-    comparesAlone: false,
+    measuresSlowdown: false,
     deployment: deployments.utility,
     length,
     policy: 'ours',
@@ -28,27 +28,27 @@
   };
 }
 
-describe('experiments on the policy', () => {
-  test('the same seed gives the same figures, another seed others', () => {
+describe('runExperiment', () => {
+  test('gives the same result for the same seed and a different one for another seed', () => {
     const first = runExperiment(optionsFor());
     expect(runExperiment(optionsFor())).toEqual(first);
     expect(runExperiment(optionsFor({ seed: 2 }))).not.toEqual(first);
   });
 
-  test('ours computes at most 1.15 of the ideal and refuses nothing within rate', () => {
+  test('"ours" computes at most 1.15 of the ideal tokens and refuses nothing within rate', () => {
     const ours = runExperiment(optionsFor());
     expect(ours.computedRatio).toBeLessThanOrEqual(1.15);
     expect(ours.refusalsWithinRate).toBe(0);
     expect(ours.unfinished).toBe(0);
   });
 
-  test.each(policyNames)('every program ends under the policy "%s", with replicas lost', policy => {
+  test.each(policyNames)('finishes every program under policy "%s" when replicas crash', policy => {
     const scenario = createScenario('two replicas lost', capacity, length);
-    const figures = runExperiment(
+    const result = runExperiment(
       optionsFor({ deployment: deployments.foundation, policy, scenario }),
     );
-    expect(figures.unfinished).toBe(0);
-    expect(figures.computedRatio).toBeGreaterThanOrEqual(1);
+    expect(result.unfinished).toBe(0);
+    expect(result.computedRatio).toBeGreaterThanOrEqual(1);
   });
 });
 
@@ -64,20 +64,20 @@
   });
 });
 
-describe('PrefixMemory', () => {
-  test('keeps within its size, drops leaves before roots, and matches from the first prefix on', () => {
+describe('SimulatedPrefixCache', () => {
+  test('stays within its capacity, evicts leaves before roots, matches from the first prefix', () => {
     const evicted: string[] = [];
-    const memory = new PrefixMemory(250, digest => evicted.push(digest));
+    const cache = new SimulatedPrefixCache(250, digest => evicted.push(digest));
     const chainOf = (program: string) => [
       { digest: `${program}/1` as PrefixDigest, tokens: 50 },
       { digest: `${program}/2` as PrefixDigest, tokens: 150 },
     ];
-    memory.store('a', chainOf('a'));
-    memory.store('b', chainOf('b'));
+    cache.store('a', chainOf('a'));
+    cache.store('b', chainOf('b'));
     expect(evicted).toEqual(['a/2']);
-    expect(memory.match(chainOf('a'))).toBe(50);
-    expect(memory.match(chainOf('b'))).toBe(150);
-    memory.release('b');
-    expect(memory.match(chainOf('b'))).toBe(50);
+    expect(cache.match(chainOf('a'))).toBe(50);
+    expect(cache.match(chainOf('b'))).toBe(150);
+    cache.release('b');
+    expect(cache.match(chainOf('b'))).toBe(50);
   });
 });
