--- a/packages/core/src/hashing/hash.ts
+++ b/packages/core/src/hashing/hash.ts
@@ -42,7 +42,7 @@
  * Compares two key hashes in constant time.
  *
  * @example
- * isSameKeyHash(hashKey(given), rule.keyHash);
+ * isSameKeyHash(hashKey(given), rule.hash);
  */
 export function isSameKeyHash(left: KeyHash, right: KeyHash): boolean {
   const leftBytes = Buffer.from(left);
--- a/packages/core/src/http2/sessionManager.ts
+++ b/packages/core/src/http2/sessionManager.ts
@@ -20,7 +20,7 @@
 /**
  * Manages one HTTP/2 connection to an authority, opened on demand, for a Connect transport. The
  * error listener stays for the lifetime of the connection: a late error, for example because
- * another program listens at the address, fails calls but never becomes an uncaught exception.
+ * another process listens at the address, fails calls but never becomes an uncaught exception.
  *
  * @example
  * createConnectTransport({ baseUrl, httpVersion: '2', sessionManager });
--- a/packages/core/src/time/manualTimerService.ts
+++ b/packages/core/src/time/manualTimerService.ts
@@ -35,7 +35,7 @@
     return this.currentTime + this.wallClockOffset;
   }
 
-  /** Changes the wall clock without moving monotonic time. */
+  /** Changes the wall clock without moving the monotonic clock. */
   public stepWallClock(milliseconds: number): void {
     this.wallClockOffset += milliseconds;
   }
--- a/packages/core/src/time/timerService.ts
+++ b/packages/core/src/time/timerService.ts
@@ -5,7 +5,7 @@
 
 /**
  * The only source of time: classes receive it instead of reading the system clock, and tests
- * replace it by a clock that they control.
+ * replace it with a clock that they control.
  */
 export interface TimerService {
   /** Monotonic time in milliseconds from an arbitrary origin; unaffected by wall-clock changes. */
