--- a/packages/rules/src/rule.ts
+++ b/packages/rules/src/rule.ts
@@ -38,9 +38,9 @@
   readonly name: string;
   /** Services that programs under the policy may call. */
   readonly services: readonly ServiceName[];
-  /** Maximum tokens of a program, prompts and answers together. */
+  /** Maximum number of tokens of a program, prompt tokens and generated tokens together. */
   readonly tokens: number;
-  /** Maximum calls of a program, including those of sub-agents. */
+  /** Maximum number of calls of a program, including those of sub-agents. */
   readonly calls: number;
   /** Seconds without a call after which a program ends. */
   readonly idleSeconds: number;
@@ -62,7 +62,7 @@
   readonly fencing: 'checked' | 'ignored';
   /** Maximum duration of one call, in seconds. */
   readonly timeoutSeconds: number;
-  /** Maximum calls in flight at one replica, summed over all instances. */
+  /** Maximum number of calls in flight at one replica, summed over all instances. */
   readonly concurrency: number;
 }
 
--- a/packages/rules/src/ruleSet.ts
+++ b/packages/rules/src/ruleSet.ts
@@ -19,8 +19,8 @@
 export const MAXIMUM_RULES = 100_000;
 
 /**
- * Current rules by their lines, changed by differences. A difference is applied completely or not
- * at all. The cost of a valid one depends on its own size and on the rules that refer to the
+ * Set of rules, keyed by their lines and changed by differences. A difference is applied completely
+ * or not at all. The cost of a valid one depends on its own size and on the rules that refer to the
  * changed ones, not on the size of the set.
  *
  * @example
@@ -91,7 +91,7 @@
     for (const line of removed) {
       const rule = this.rules.get(line);
       if (rule === undefined || change.removed.has(line)) {
-        errors.push({ expected: 'a line in force, to take it out', found: line, line: 0 });
+        errors.push({ expected: 'a line in force', found: line, line: 0 });
       } else {
         change.removed.set(line, rule);
       }
