--- a/packages/platform/src/table/partitionedTable.ts
+++ b/packages/platform/src/table/partitionedTable.ts
@@ -14,7 +14,7 @@
 /** Row of a partitioned table. */
 export interface PartitionedRow extends RowAddress {
   readonly value: Buffer;
-  /** Value of a store-wide counter that grows with every transaction. */
+  /** Value of the store-wide version counter, which grows with every transaction. */
   readonly version: number;
 }
 
@@ -40,7 +40,7 @@
   readonly rows: readonly PartitionedRow[];
   /** Whether the range holds more rows than the page. */
   readonly isTruncated: boolean;
-  /** Version of the whole store at the time of the snapshot. */
+  /** Value of the store-wide version counter at the time of the snapshot. */
   readonly version: number;
   /** Time on the monotonic clock of the store, in milliseconds. */
   readonly storeTime: number;
--- a/packages/platform/tests/transactSettled.test.ts
+++ b/packages/platform/tests/transactSettled.test.ts
@@ -19,12 +19,13 @@
 const ATTEMPTS = 4;
 
 /**
- * Outcome of one attempt: `lost` takes effect without a response, `swallowed` never takes effect,
- * and `late` takes effect only if the test applies it later.
+ * Outcome of one attempt: `answered` gets the response of the table, `refused` is known to have no
+ * effect, `lost` takes effect without a response, `swallowed` never takes effect, and `late` takes
+ * effect only if the test applies it later.
  */
 type ScriptedOutcome = 'answered' | 'late' | 'lost' | 'refused' | 'swallowed';
 
-/** Table whose attempts have the scripted outcomes in order; later attempts are answered. */
+/** Table whose attempts have the scripted outcomes in order, and `answered` after the last one. */
 class ScriptedTable implements TableService {
   public readonly delayedTransactions: Transaction[] = [];
   public beforeAttempt: () => void = () => undefined;
