--- a/packages/coordination/src/leases/heldShard.ts
+++ b/packages/coordination/src/leases/heldShard.ts
@@ -9,7 +9,7 @@
 
 import { parseShardRow, shardRowKey } from './leaseRows.js';
 
-/** Options of a {@link HeldShard}: its collaborators and the contents of its row when acquired. */
+/** Options of a {@link HeldShard}: its dependencies and the contents of its row when acquired. */
 export interface HeldShardOptions {
   readonly table: TableService;
   readonly timers: TimerService;
@@ -80,7 +80,7 @@
   }
 
   /**
-   * Writes the row at most once. Retries when no answer arrives, since the write may or may not
+   * Writes the row at most once. Retries when no response arrives, since the write may or may not
    * have taken effect.
    */
   private async write(
--- a/packages/coordination/src/leases/session.ts
+++ b/packages/coordination/src/leases/session.ts
@@ -5,7 +5,7 @@
 
 import { sessionRowKey } from './leaseRows.js';
 
-/** Durations that govern a lease, in milliseconds of monotonic time. */
+/** Durations that govern a lease, in milliseconds on the monotonic clock. */
 export interface LeaseTerms {
   /** Time for which a renewal keeps the lease valid. */
   readonly termMilliseconds: number;
@@ -114,7 +114,7 @@
       if (row.version === 0) {
         return;
       }
-      // An unanswered renewal took effect and changed the version of the row.
+      // An unresolved renewal took effect and changed the version of the row.
       this.rowVersion = row.version;
     }
   }
@@ -128,19 +128,19 @@
     this.validUntil = Math.max(this.validUntil, sentAt + termMilliseconds - marginMilliseconds);
   }
 
-  /** Determines from the row which of the unanswered renewals took effect. */
+  /** Determines from the row which of the unresolved renewals took effect. */
   private async resolveRenewals(): Promise<RenewalOutcome> {
     const read = await this.options.table.read([this.check.key]);
     const row = read.ok ? read.val[0] : undefined;
     if (row === undefined) {
       return 'unknown';
     }
-    // While the version is unchanged, the unanswered renewals may still arrive, so they are kept.
+    // While the version is unchanged, the unresolved renewals may still arrive, so they are kept.
     return row.version === this.rowVersion ? 'renewed' : this.applyUnresolvedRenewal(row);
   }
 
   /**
-   * Applies a row that an unanswered renewal of this session wrote. Any other row means that the
+   * Applies a row that an unresolved renewal of this session wrote. Any other row means that the
    * session was lost.
    */
   private applyUnresolvedRenewal(row: Row): RenewalOutcome {
--- a/packages/coordination/src/leases/sessionObserver.ts
+++ b/packages/coordination/src/leases/sessionObserver.ts
@@ -3,7 +3,7 @@
 
 interface Observation {
   readonly version: number;
-  /** Monotonic time at which the first read that returned the version had been answered. */
+  /** Monotonic time at which the first response with this version had arrived, in milliseconds. */
   readonly firstSeenAt: number;
 }
 
@@ -22,7 +22,7 @@
   /**
    * Records a row that was read.
    *
-   * @param readStartedAt monotonic time before the read was sent
+   * @param readStartedAt monotonic time before the read was sent, in milliseconds
    * @returns whether the session has expired at this version
    */
   public observe(incarnation: IncarnationId, row: Row, readStartedAt: number): boolean {
--- a/packages/coordination/src/leases/shardLeases.ts
+++ b/packages/coordination/src/leases/shardLeases.ts
@@ -57,8 +57,8 @@
   private readonly abandonedSessionReaper: ExpiredSessionReaper;
   private readonly heldByShard = new Map<ShardId, HeldShard>();
   /**
-   * Shards whose acquisition was not answered, with the row version that it expected. The row may
-   * name this instance as the holder although the instance does not serve the shard.
+   * Shards with an acquisition of unknown outcome, and the row version that it expected. The row
+   * may name this instance as the holder although the instance does not serve the shard.
    */
   private readonly unresolvedAcquisitions = new Map<ShardId, number>();
   private readonly releasesInProgress = new Map<HeldShard, Promise<void>>();
@@ -91,7 +91,7 @@
 
   /** Renews the session, then releases and acquires shards according to the eligible instances. */
   public async tick(): Promise<void> {
-    // A second renewal sent while one is unanswered would fail its check of the row version.
+    // A renewal sent before the response to the previous one would fail its row version check.
     if (this.isTicking || this.isStopping) {
       return;
     }
@@ -317,7 +317,7 @@
     const expectedVersion = this.unresolvedAcquisitions.get(candidate.shard);
     const isOwn = candidate.row.holder === this.incarnation;
     if (!isOwn && expectedVersion !== undefined && candidate.rowVersion !== expectedVersion) {
-      // The row has a new version, so the unanswered acquisition can no longer take effect.
+      // The row has a new version, so the unresolved acquisition can no longer take effect.
       this.unresolvedAcquisitions.delete(candidate.shard);
     }
     return isOwn || preferredHolder(candidate.shard, eligible) === this.options.instance;
@@ -355,7 +355,7 @@
     }
     const isCommitted = outcome.val.status === 'committed';
     for (const candidate of candidates) {
-      // A conflict may be due to an earlier, unanswered acquisition that named this instance.
+      // A conflict may be due to an earlier, unresolved acquisition that named this instance.
       if (isCommitted || !previouslyUnresolved.has(candidate.shard)) {
         this.unresolvedAcquisitions.delete(candidate.shard);
       }
--- a/packages/coordination/src/limits/limitSeats.ts
+++ b/packages/coordination/src/limits/limitSeats.ts
@@ -26,7 +26,7 @@
   /** Returns the names of the instances that should hold seats. */
   readonly eligible: () => ReadonlySet<string>;
   readonly createIncarnation: () => IncarnationId;
-  /** Interval of polling seats that others hold and of retrying a renewal, in milliseconds. */
+  /** Interval of polling the seats of others and of retrying a renewal, in milliseconds. */
   readonly pollMilliseconds: number;
   /**
    * Time from the acquisition of a seat until it counts, in milliseconds; at least the longest loan
@@ -63,9 +63,9 @@
 }
 
 /**
- * Manages the seats of the fleet's limits that this instance holds. The seats are leased for long
- * terms by one session row per incarnation. Call {@link LimitSeats.tick} often: it reads and writes
- * only when something is due.
+ * Manages the seats that this instance holds; a seat is a fixed share of every workspace's rate and
+ * burst. The seats are leased for long terms by one session row per incarnation. Call
+ * {@link LimitSeats.tick} often: it reads and writes only when something is due.
  */
 export class LimitSeats {
   private session: Session;
@@ -79,7 +79,7 @@
   private isStopping = false;
 
   public constructor(private readonly options: LimitSeatsOptions) {
-    this.session = this.openSession();
+    this.session = this.createSession();
     this.observer = new SessionObserver(options.timers, options.terms.termMilliseconds);
   }
 
@@ -139,7 +139,7 @@
     await this.session.end();
   }
 
-  private openSession(): Session {
+  private createSession(): Session {
     const { createIncarnation } = this.options;
     return new Session({ ...this.options, incarnation: createIncarnation() });
   }
@@ -155,7 +155,7 @@
       this.options.logger.warn({ incarnation: this.session.incarnation }, 'limit seats lost');
       this.held.clear();
       this.pendingReleases.clear();
-      this.session = this.openSession();
+      this.session = this.createSession();
       this.renewDueAt = sentAt;
       return;
     }
@@ -211,7 +211,7 @@
     if (outcome.err) {
       return;
     }
-    // A conflict reports the rows that an earlier, unanswered write had already released.
+    // A conflict reports the rows that an earlier write without a response had already released.
     const isCommitted = outcome.val.status === 'committed';
     const reportedKeys = new Set(outcome.val.rows.map(row => row.key));
     for (const [seat] of seats) {
--- a/packages/coordination/src/limits/loan.ts
+++ b/packages/coordination/src/limits/loan.ts
@@ -22,7 +22,7 @@
   readonly spentLoans: readonly number[];
 }
 
-/** Answer to a loan request. A loan of no tokens and no share means that nothing was lent. */
+/** Response to a loan request. A loan of no tokens and no share means that nothing was lent. */
 export interface Loan {
   /** Number of the loan at its lender; 0 for none. */
   readonly loanId: number;
@@ -36,14 +36,14 @@
   readonly retryMilliseconds: number;
   /**
    * Whether the lender does not know its own supply of tokens yet, as when it is still borrowing
-   * shares; `retryMilliseconds` is then no estimate of the supply.
+   * shares; `retryMilliseconds` then does not estimate the supply.
    */
   readonly isGathering: boolean;
 }
 
 /** Client that requests loans from other instances. */
 export interface LoanClient {
-  /** Requests a loan from an instance; `undefined` if no answer came. */
+  /** Requests a loan from an instance; `undefined` if no response came. */
   borrow(lender: string, request: LoanRequest): Promise<Loan | undefined>;
 }
 
@@ -67,7 +67,7 @@
   readonly renewMilliseconds: number;
 }
 
-/** Fraction by which a monotonic clock may run fast or slow. */
+/** Maximum fraction by which a monotonic clock may run fast or slow. */
 export const MAXIMUM_CLOCK_DRIFT = 0.0005;
 /** Fraction by which a lender counts a loan longer than its borrower; covers the drift of both. */
 const LENDER_MARGIN = 0.01;
@@ -75,7 +75,7 @@
 /**
  * Extends the validity of a loan by the lender's margin.
  *
- * @returns time for which the lender counts the loan as lent, in milliseconds from its reply
+ * @returns time for which the lender counts the loan as lent, in milliseconds from its response
  */
 export function addLenderMargin(validMilliseconds: number): number {
   return validMilliseconds * (1 + LENDER_MARGIN);
@@ -99,7 +99,7 @@
   return left !== right && instanceAndAddressOf(left) === instanceAndAddressOf(right);
 }
 
-/** Creates the answer that lends nothing. */
+/** Creates the response that lends nothing. */
 export function noLoan(retryMilliseconds: number): Loan {
   return {
     isGathering: false,
--- a/packages/coordination/src/limits/tokenBucket.ts
+++ b/packages/coordination/src/limits/tokenBucket.ts
@@ -7,7 +7,7 @@
 }
 
 /**
- * Token bucket on monotonic time. It starts empty.
+ * Token bucket that refills by the monotonic clock. It starts empty.
  *
  * @example
  * const bucket = new TokenBucket({ rate: 10, burst: 20 }, now);
@@ -29,7 +29,7 @@
     return this.tokens;
   }
 
-  /** Takes tokens if enough are available. */
+  /** Acquires tokens if enough are available. */
   public tryAcquire(now: number, amount: number): boolean {
     if (this.available(now) < amount) {
       return false;
--- a/packages/coordination/src/limits/workspaceEscrow.ts
+++ b/packages/coordination/src/limits/workspaceEscrow.ts
@@ -49,11 +49,11 @@
   readonly loanId: number;
 }
 
-/** Loan received in answer to a request. */
+/** Loan received in response to a request. */
 export interface ReceivedLoan {
   readonly lender: string;
   readonly request: LoanRequest;
-  /** Monotonic time before the request was sent. */
+  /** Monotonic time before the request was sent, in milliseconds. */
   readonly sentAt: number;
   readonly loan: Loan;
 }
@@ -100,7 +100,7 @@
     this.nextLoanId = options.firstLoanId;
   }
 
-  /** Rate and burst of the workspace over the complete fleet. */
+  /** Rate and burst of the workspace across the fleet. */
   public get limits(): BucketSize {
     return this.size;
   }
@@ -122,7 +122,7 @@
     return this.shareAt(now) * this.size.rate * (1 - MAXIMUM_CLOCK_DRIFT);
   }
 
-  /** Takes a token if one is available, from the oldest loan first. */
+  /** Acquires a token if one is available, from the oldest loan first. */
   public tryAcquire(now: number): boolean {
     this.advance(now);
     const borrowed = this.borrowedTokens.find(each => each.tokens >= 1);
@@ -338,7 +338,7 @@
     const addedShare = Math.max(0, lendableShare - (earlierLoan?.share ?? 0));
     this.lentShares = otherLoans;
     if (earlierLoan !== undefined && earlierLoan.share > lendableShare) {
-      // The borrower may not receive this reply and use its earlier share until that ends.
+      // If the borrower does not receive this response, it uses its earlier share until that ends.
       this.lentShares.push({ ...earlierLoan, loanId: 0, share: earlierLoan.share - lendableShare });
     }
     const until = Math.max(now + addLenderMargin(validMilliseconds), earlierLoan?.until ?? 0);
--- a/packages/coordination/src/limits/workspaceLimiter.ts
+++ b/packages/coordination/src/limits/workspaceLimiter.ts
@@ -34,15 +34,15 @@
 const RETAINED_DEMAND_FACTOR = 1.25;
 /** Minimum capacity, in tokens, at which a lender retains any share for itself. */
 const MINIMUM_USEFUL_TOKENS = 2;
-/** Time for which tokens are borrowed in advance, at the current request rate. */
+/** Time for which tokens are borrowed in advance, at the current request rate, in seconds. */
 const PREFETCH_SECONDS = 0.2;
-/** Lateness of its next attempt up to which a deferred borrower keeps its position. */
+/** Time by which a deferred borrower may retry late and keep its position, in milliseconds. */
 const DEFERRAL_GRACE_MILLISECONDS = 50;
-/** Pause after a loan request without an answer, in milliseconds. */
-const UNANSWERED_PAUSE_MILLISECONDS = 200;
+/** Pause after a loan request without a response, in milliseconds. */
+const NO_RESPONSE_PAUSE_MILLISECONDS = 200;
 /** Retry time given to borrowers while the first shares are being gathered, in milliseconds. */
 const GATHERING_PAUSE_MILLISECONDS = 10;
-/** Time allowed for the lenders' answers to the first share requests, in milliseconds. */
+/** Time allowed for the lenders' responses to the first share requests, in milliseconds. */
 const GATHERING_TIMEOUT_MILLISECONDS = 100;
 /** Allowance for an underestimated time to a token, in milliseconds. */
 const WAIT_SLACK_MILLISECONDS = 25;
@@ -213,7 +213,7 @@
     return !this.areSharesPending(now) && Number.isFinite(this.escrow.millisecondsUntil(now, 1));
   }
 
-  /** Whether answers of lenders to the first share requests may still be outstanding. */
+  /** Whether responses of lenders to the first share requests may still be outstanding. */
   private areSharesPending(now: number): boolean {
     return now - this.gatheringStartedAt < GATHERING_TIMEOUT_MILLISECONDS;
   }
@@ -294,7 +294,7 @@
     });
     this.isBorrowing = false;
     const expectedMilliseconds =
-      loan === undefined ? UNANSWERED_PAUSE_MILLISECONDS : loan.retryMilliseconds;
+      loan === undefined ? NO_RESPONSE_PAUSE_MILLISECONDS : loan.retryMilliseconds;
     this.expectedTokenAt = this.now + expectedMilliseconds;
     this.nextBorrowAt =
       this.now + (loan !== undefined && loan.tokens > 0 ? 0 : clampPause(expectedMilliseconds));
@@ -402,11 +402,11 @@
     }
   }
 
-  private createRequest(kind: LoanKind, tokens: number, loan: number): LoanRequest {
+  private createRequest(kind: LoanKind, tokens: number, loanId: number): LoanRequest {
     return {
       borrower: this.dependencies.borrower,
       kind,
-      loanId: loan,
+      loanId,
       size: this.escrow.limits,
       spentLoans: [],
       tokens,
--- a/packages/coordination/src/log/logReader.ts
+++ b/packages/coordination/src/log/logReader.ts
@@ -11,12 +11,12 @@
 /** Records of one commit group, by shard. */
 type RecordsByShard = ReadonlyMap<ShardId, readonly LogRecord[]>;
 
-/** Outcome of reading a commit group; `undefined` for an object that does not exist. */
+/** Result of reading a commit group; `undefined` for an object that does not exist. */
 type GroupReadResult = Result<RecordsByShard | undefined, PlatformError>;
 
 /** Number of objects that are read concurrently. */
 const PARALLEL_READS = 16;
-/** Bound on the commit groups that are cached for the other shards of the same log. */
+/** Maximum number of commit groups that are cached for the other shards of the same log. */
 const MAXIMUM_CACHED_GROUPS = 512;
 
 /**
--- a/packages/coordination/src/log/logSweeper.ts
+++ b/packages/coordination/src/log/logSweeper.ts
@@ -31,7 +31,7 @@
   public constructor(private readonly options: LogSweeperOptions) {}
 
   /**
-   * Deletes the log objects that are not needed at present.
+   * Deletes the log objects that are not needed.
    *
    * @returns the number of objects deleted
    */
@@ -83,7 +83,7 @@
     return Ok(listed);
   }
 
-  /** Reads the first sequence number that is still needed of each log. */
+  /** Reads, for each log, the first sequence number that is still needed. */
   private async readFirstNeededSequences(): Promise<
     Result<ReadonlyMap<IncarnationId, number>, PlatformError>
   > {
--- a/packages/coordination/src/log/writeAheadLog.ts
+++ b/packages/coordination/src/log/writeAheadLog.ts
@@ -35,7 +35,7 @@
   readonly resolve: (outcome: Result<LogPosition, LogFailure>) => void;
 }
 
-/** Share of `maximumPending` that new work may fill; the rest is reserved for running work. */
+/** Share of `maximumPending` that new work may fill; the remainder is reserved for running work. */
 const NEW_WORK_SHARE = 0.8;
 
 /** Size at which a commit group is closed, in characters. */
@@ -79,12 +79,12 @@
     return this.pendingCount;
   }
 
-  /** Whether new work may be started whose records will have to wait for the store. */
+  /** Whether the log has room for the records of new work, which may have to wait for the store. */
   public get hasRoomForNewWork(): boolean {
     return this.pendingCount < this.options.maximumPending * NEW_WORK_SHARE;
   }
 
-  /** Whether the last attempt to store a group failed, so that waiting may take long. */
+  /** Whether the last attempt to store a group failed; records may then stay pending for long. */
   public get isStalled(): boolean {
     return this.isStoreFailing;
   }
@@ -195,7 +195,7 @@
 
   /**
    * Attempts to store a group. An existing object with the same content counts as stored: it is
-   * an earlier attempt whose answer was lost.
+   * an earlier attempt whose response was lost.
    */
   private async tryStoreGroup(
     name: string,
--- a/packages/coordination/src/membership/membership.ts
+++ b/packages/coordination/src/membership/membership.ts
@@ -29,7 +29,7 @@
 }
 
 interface PeerRecord extends Peer {
-  readonly heardAt: number;
+  readonly lastHeartbeatAt: number;
 }
 
 /**
@@ -49,8 +49,8 @@
 
   /** Peers whose last heartbeat is within the suspicion time. */
   public get alive(): readonly Peer[] {
-    const oldestAliveAt = this.options.timers.now() - this.options.suspectMilliseconds;
-    return [...this.peers.values()].filter(peer => peer.heardAt >= oldestAliveAt);
+    const earliestHeartbeatAt = this.options.timers.now() - this.options.suspectMilliseconds;
+    return [...this.peers.values()].filter(peer => peer.lastHeartbeatAt >= earliestHeartbeatAt);
   }
 
   /** Applies the platform's directory. Unlisted peers are removed once they are no longer alive. */
@@ -66,7 +66,7 @@
       if (known === undefined) {
         this.peers.set(id, {
           address: entry.address,
-          heardAt: Number.NEGATIVE_INFINITY,
+          lastHeartbeatAt: Number.NEGATIVE_INFINITY,
           id,
           incarnation: undefined,
           isLeaving: entry.state === 'leaving',
@@ -87,7 +87,7 @@
     if (heartbeat.id === this.options.self) {
       return;
     }
-    this.peers.set(heartbeat.id, { ...heartbeat, heardAt: this.options.timers.now() });
+    this.peers.set(heartbeat.id, { ...heartbeat, lastHeartbeatAt: this.options.timers.now() });
   }
 
   /** Marks this instance as leaving: it is no longer eligible for shards. */
--- a/packages/coordination/src/versions/versionedChanges.ts
+++ b/packages/coordination/src/versions/versionedChanges.ts
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Accepts a change of the version that was read. The change is applied once even if answers are
-   * lost or it is requested again with the same identifier.
+   * Accepts a change of the version that was read. The change is applied once even if responses
+   * are lost or it is requested again with the same identifier.
    *
    * @param current lines of the version that was read, for the snapshot that may be due
    */
--- a/packages/coordination/tests/leases/pausableNode.ts
+++ b/packages/coordination/tests/leases/pausableNode.ts
@@ -25,7 +25,7 @@
 }
 
 /**
- * Outcome of a write whose answer is lost: `lost` takes effect immediately, `late` only when late
+ * Outcome of a write whose response is lost: `lost` takes effect immediately, `late` only when late
  * writes are delivered, `refused` never.
  */
 export type ScriptedOutcome = 'late' | 'lost' | 'refused';
@@ -44,7 +44,7 @@
 
 /**
  * A simulated process with its own clock. While it is paused, its clock continues to run, but none
- * of its timers fires and no operation on the platform is sent or answered.
+ * of its timers fires and no operation on the platform is sent or returns.
  */
 export class PausableNode {
   public readonly timers = new ManualTimerService();
@@ -53,7 +53,7 @@
   public readonly table: TableService;
   public readonly objects: ObjectStore;
   public isKilled = false;
-  /** Delay of the answers of the platform. */
+  /** Delay of the responses of the platform, in milliseconds. */
   public answerDelayMilliseconds = 0;
   /** Scripted outcome of the next `count` writes of rows whose key has the prefix. */
   public nextWriteOutcome:
@@ -154,7 +154,7 @@
     } else if (scripted.outcome === 'lost') {
       this.platform.table.transact(transaction);
     }
-    return Promise.resolve(Err(new PlatformError('outcome-unknown', 'the answer was lost')));
+    return Promise.resolve(Err(new PlatformError('outcome-unknown', 'the response was lost')));
   }
 
   private async forward<Value>(operation: () => Promise<Value>): Promise<Value> {
--- a/packages/coordination/tests/leases/shardLeases.test.ts
+++ b/packages/coordination/tests/leases/shardLeases.test.ts
@@ -181,7 +181,7 @@
     expect(first!.leases.incarnation).toBe(incarnation);
   });
 
-  it.each([1, 2, 3])('keeps the session when the answers of %i writes are lost', async count => {
+  it.each([1, 2, 3])('keeps the session when the responses to %i writes are lost', async count => {
     const cluster = await createSettledPair();
     const [first] = cluster.nodes;
     const { incarnation } = first!.leases;
@@ -249,7 +249,7 @@
     },
   );
 
-  it('measures its term from before the renewal, however late the answer arrives', async () => {
+  it('measures its term from before the renewal, however late the response arrives', async () => {
     const cluster = await createSettledPair();
     const [first, second] = cluster.nodes;
     second!.eligible = new Set([second!.name]);
--- a/packages/coordination/tests/limits/escrowedLimiter.test.ts
+++ b/packages/coordination/tests/limits/escrowedLimiter.test.ts
@@ -171,18 +171,18 @@
     await fleet.timers.advance(15_000);
     await countGranted(fleet, 0, 'single', 4);
     const sentAt = fleet.timers.now();
-    const answers: number[] = [];
+    const retryTimesMilliseconds: number[] = [];
     for (let count = 0; count < 12; count++) {
       void fleet.instances[0]!.mechanism.admit('single', 2_000).then(decision => {
         if (decision.status === 'refused') {
-          answers.push(decision.retryMilliseconds);
+          retryTimesMilliseconds.push(decision.retryMilliseconds);
           expect(fleet.timers.now() - sentAt).toBeLessThan(1_000);
         }
       });
     }
     await fleet.timers.advance(900);
-    expect(answers.length).toBeGreaterThan(5);
-    expect(Math.min(...answers)).toBeGreaterThan(1_000);
+    expect(retryTimesMilliseconds.length).toBeGreaterThan(5);
+    expect(Math.min(...retryTimesMilliseconds)).toBeGreaterThan(1_000);
     await fleet.timers.advance(4_000);
   });
 });
--- a/packages/coordination/tests/limits/workspaceEscrow.test.ts
+++ b/packages/coordination/tests/limits/workspaceEscrow.test.ts
@@ -18,8 +18,8 @@
   });
 }
 
-function createRequest(kind: LoanKind, tokens = 0, loan = 0): LoanRequest {
-  return { borrower: 'b.1', kind, loanId: loan, size, spentLoans: [], tokens, workspace: 'w' };
+function createRequest(kind: LoanKind, tokens = 0, loanId = 0): LoanRequest {
+  return { borrower: 'b.1', kind, loanId, size, spentLoans: [], tokens, workspace: 'w' };
 }
 
 describe('WorkspaceEscrow', () => {
--- a/packages/coordination/tests/log/log.test.ts
+++ b/packages/coordination/tests/log/log.test.ts
@@ -39,7 +39,7 @@
 }
 
 describe('the write-ahead log', () => {
-  it.each([0, 1, 2, 5])('stores a record exactly once when %i answers are lost', async count => {
+  it.each([0, 1, 2, 5])('stores a record exactly once when %i responses are lost', async count => {
     const node = new PausableNode(createSharedPlatform());
     const log = createLog(node);
     node.objectFaults.set({ lostAnswers: count });
--- a/packages/coordination/tests/versions/versionedChanges.test.ts
+++ b/packages/coordination/tests/versions/versionedChanges.test.ts
@@ -82,7 +82,7 @@
     expect(await store.readLines()).toEqual([winningLine]);
   });
 
-  it.each([1, 2, 4])('accepts a change once when %d answers are lost', async lostAnswers => {
+  it.each([1, 2, 4])('accepts a change once when %d responses are lost', async lostAnswers => {
     const store = new TestStore();
     const { changes, faults } = store.createClient();
     const head = (await changes.readHead()).unwrap();
@@ -94,7 +94,7 @@
     expect(store.table.commits).toBe(1);
   });
 
-  it('finds an accepted change by its identifier after all answers were lost and others followed', async () => {
+  it('finds an accepted change by its identifier after all responses were lost and others followed', async () => {
     const store = new TestStore();
     const { changes, faults } = store.createClient();
     const head = (await changes.readHead()).unwrap();
