--- a/packages/scheduling/src/priority/enginePriority.ts
+++ b/packages/scheduling/src/priority/enginePriority.ts
@@ -1,4 +1,4 @@
-/** Input of {@link enginePriority}. Times are monotonic milliseconds. */
+/** Input of {@link enginePriority}. Times are in milliseconds on the monotonic clock. */
 export interface EnginePriorityInput {
   /** Number of tokens that the program has been served so far. */
   readonly attainedTokens: number;
--- a/packages/scheduling/src/queue/fairWorkQueue.ts
+++ b/packages/scheduling/src/queue/fairWorkQueue.ts
@@ -23,7 +23,7 @@
    * counted. It bounds how long the use of spare capacity at other instances counts against a
    * workspace.
    */
-  readonly maxLeadTokens?: number;
+  readonly maximumLeadTokens?: number;
 }
 
 const DEFAULT_MAXIMUM_LEAD_TOKENS = 500_000;
@@ -89,14 +89,14 @@
   private readonly entries = new Map<WorkId, WaitingEntry<Item>>();
   private readonly unsettled = new Map<WorkId, UnsettledItem>();
   private readonly order: ProgramOrder;
-  private readonly maxLeadTokens: number;
+  private readonly maximumLeadTokens: number;
   private virtualTime = 0;
   private nextOrder = 0;
   private flowsAtLastSweep = 0;
 
   public constructor(private readonly options: FairWorkQueueOptions) {
     this.order = options.order ?? new AttainedServiceOrder();
-    this.maxLeadTokens = options.maxLeadTokens ?? DEFAULT_MAXIMUM_LEAD_TOKENS;
+    this.maximumLeadTokens = options.maximumLeadTokens ?? DEFAULT_MAXIMUM_LEAD_TOKENS;
   }
 
   public get size(): number {
@@ -211,7 +211,7 @@
       flow.finishTag += tokens / weight;
       return;
     }
-    const maximumFinishTag = this.virtualTime + this.maxLeadTokens / weight;
+    const maximumFinishTag = this.virtualTime + this.maximumLeadTokens / weight;
     const startTag = Math.max(flow.finishTag, this.virtualTime);
     flow.finishTag = Math.min(
       startTag + tokens / weight,
--- a/packages/scheduling/src/queue/workQueue.ts
+++ b/packages/scheduling/src/queue/workQueue.ts
@@ -3,7 +3,7 @@
 /** Identifier of an item of work, unique within its queue. */
 export type WorkId = Brand<string, 'WorkId'>;
 
-/** Work that waits for an upstream. Times are monotonic milliseconds. */
+/** Work that waits for an upstream. Times are in milliseconds on the monotonic clock. */
 export interface QueueItem {
   readonly id: WorkId;
   readonly workspace: WorkspaceName;
@@ -17,7 +17,7 @@
   readonly deadline: number | undefined;
 }
 
-/** Result of a push. */
+/** Outcome of a push. */
 export type PushOutcome = 'accepted' | 'duplicate' | 'queue-full' | 'workspace-full';
 
 /**
--- a/packages/scheduling/src/replicas/prefixIndex.ts
+++ b/packages/scheduling/src/replicas/prefixIndex.ts
@@ -30,7 +30,7 @@
   /** Ordered from least to most recently added: a map keeps the order of insertion. */
   private readonly replicasByPrefix = new Map<PrefixDigest, ReplicaIncarnation[]>();
 
-  public constructor(private readonly maxPrefixes: number) {}
+  public constructor(private readonly maximumPrefixes: number) {}
 
   /** Number of prefixes in the index. */
   public get size(): number {
@@ -42,7 +42,7 @@
     for (const { digest } of chain) {
       this.addPrefix(replica, digest);
     }
-    trimOldest(this.replicasByPrefix, this.maxPrefixes);
+    trimOldest(this.replicasByPrefix, this.maximumPrefixes);
   }
 
   /**
--- a/packages/scheduling/src/retries/quarantine.ts
+++ b/packages/scheduling/src/retries/quarantine.ts
@@ -13,6 +13,7 @@
 
 /** Crash of an upstream while it processed a request; instances exchange these. */
 export interface UpstreamCrash {
+  /** Identifier of the crash; the property keeps the name under which instances exchange it. */
   readonly death: CrashId;
   readonly body: BodyDigest;
   readonly upstream: UpstreamId;
--- a/packages/scheduling/src/retries/retryBudget.ts
+++ b/packages/scheduling/src/retries/retryBudget.ts
@@ -28,8 +28,8 @@
 export class RetryBudget {
   private saved = 0;
   /**
-   * @param lastRefillAt monotonic time from which the reserve accrues; that of the first retry by
-   * default
+   * @param lastRefillAt monotonic time from which the reserve accrues; the time of the first retry
+   * by default
    */
   public constructor(
     private readonly options: RetryBudgetOptions,
--- a/packages/scheduling/src/service/serviceScheduler.ts
+++ b/packages/scheduling/src/service/serviceScheduler.ts
@@ -17,7 +17,9 @@
 import { ConcurrencyWindow } from '../windows/concurrencyWindow.js';
 import { WakeTimes } from './wakeTimes.js';
 
-/** Work that waits for a replica of one service. Times are monotonic milliseconds. */
+/**
+ * Work that waits for a replica of one service. Times are in milliseconds on the monotonic clock.
+ */
 export interface ScheduledItem extends PlacementRequest, QueueItem {
   /** Time at which the work entered the instance. */
   readonly enqueuedAt: number;
@@ -146,7 +148,7 @@
     }
   }
 
-  /** Applies a changed rule of the service or number of instances. */
+  /** Applies a change of the service's rule or of the number of instances. */
   public reconfigure(window: ConcurrencyWindowOptions): void {
     this.windowOptions = window;
     for (const replicaWindow of this.windows.values()) {
--- a/packages/scheduling/src/util/trimOldest.ts
+++ b/packages/scheduling/src/util/trimOldest.ts
@@ -10,11 +10,11 @@
  * @example
  * trimOldest(recentlyUsed, 10_000);
  */
-export function trimOldest<Key>(map: Map<Key, unknown>, maxSize: number): void {
-  if (map.size <= maxSize) {
+export function trimOldest<Key>(map: Map<Key, unknown>, maximumSize: number): void {
+  if (map.size <= maximumSize) {
     return;
   }
-  const targetSize = maxSize - Math.floor(maxSize * FREED_FRACTION);
+  const targetSize = maximumSize - Math.floor(maximumSize * FREED_FRACTION);
   for (const key of map.keys()) {
     if (map.size <= targetSize) {
       return;
--- a/packages/scheduling/src/windows/concurrencyWindow.ts
+++ b/packages/scheduling/src/windows/concurrencyWindow.ts
@@ -64,7 +64,7 @@
     return this.inFlight;
   }
 
-  /** Applies a changed rule of the service or number of instances. */
+  /** Applies a change of the service's rule or of the number of instances. */
   public reconfigure(options: ConcurrencyWindowOptions): void {
     this.options = options;
     this.window = this.clamp(this.window);
--- a/packages/scheduling/tests/chooserDifferential.test.ts
+++ b/packages/scheduling/tests/chooserDifferential.test.ts
@@ -31,7 +31,7 @@
 
 const operationArbitrary = fc.oneof(
   fc.record({
-    closed: fc.array(fc.nat(REPLICAS - 1), { maxLength: REPLICAS }),
+    busyReplicas: fc.array(fc.nat(REPLICAS - 1), { maxLength: REPLICAS }),
     excluded: fc.array(fc.nat(REPLICAS - 1), { maxLength: 2 }),
     kind: fc.constant('choose' as const),
     program: fc.nat(PROGRAMS - 1),
@@ -76,7 +76,7 @@
                   .filter(({ digest }) => cachedDigests[index]!.has(digest))
                   .at(-1);
                 const calls = ownInFlight[index]! + othersInFlight[index]!;
-                const lacksCapacity = operation.closed.includes(index);
+                const lacksCapacity = operation.busyReplicas.includes(index);
                 const slotsToWaitFor = Math.max(
                   lacksCapacity ? 1 : 0,
                   calls - options.slotsPerReplica + 1,
@@ -96,14 +96,14 @@
               const eligible = allowed.filter(
                 index =>
                   costOf(index) <= lowestCost + COST_TOLERANCE_MILLISECONDS &&
-                  !operation.closed.includes(index),
+                  !operation.busyReplicas.includes(index),
               );
               const excluded = new Set(operation.excluded.map(replicaId));
               const request = { excluded, prefixes, promptTokens };
               const placement = chooser.choose(
                 request,
                 now,
-                candidate => !operation.closed.some(index => replicaId(index) === candidate),
+                candidate => !operation.busyReplicas.some(index => replicaId(index) === candidate),
               );
               expect(eligible.map(replicaId)).toEqual(
                 eligible.length === 0 ? [] : expect.arrayContaining([placement?.replica]),
--- a/packages/scheduling/tests/queueDifferential.test.ts
+++ b/packages/scheduling/tests/queueDifferential.test.ts
@@ -104,7 +104,7 @@
         const queue = new FairWorkQueue({
           maxItems: 1_000,
           maxItemsPerWorkspace: 1_000,
-          maxLeadTokens: MAXIMUM_LEAD_TOKENS,
+          maximumLeadTokens: MAXIMUM_LEAD_TOKENS,
           weightOf,
         });
         const reference = new ReferenceQueue();
