--- a/packages/control/src/controlSettings.ts
+++ b/packages/control/src/controlSettings.ts
@@ -8,7 +8,7 @@
 const ADDRESS_PATTERN = /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/;
 
 const platformSchema = z.strictObject({
-  address: z.string().regex(ADDRESS_PATTERN, 'expected an IP number and a port, 127.0.0.1:4100'),
+  address: z.string().regex(ADDRESS_PATTERN, 'expected an IP address and a port, 127.0.0.1:4100'),
   timeoutMilliseconds: z.number().int().positive().default(DEFAULT_TIMEOUT_MILLISECONDS),
 });
 const settingsSchema = z.strictObject({ platform: platformSchema });
--- a/packages/control/src/waitUntilInForce.ts
+++ b/packages/control/src/waitUntilInForce.ts
@@ -28,7 +28,7 @@
  * until the time is up.
  *
  * @example
- * const report = await waitInForce(context, 12, 10);
+ * const report = await waitUntilInForce(context, 12, 10);
  */
 export async function waitUntilInForce(
   context: ControlContext,
@@ -88,14 +88,14 @@
 }
 
 /** Applies an asynchronous function to all items, one batch of concurrent calls after another. */
-export async function mapInBatches<Item, Outcome>(
+export async function mapInBatches<Item, Value>(
   items: readonly Item[],
-  action: (item: Item) => Promise<Outcome>,
-): Promise<readonly Outcome[]> {
-  const outcomes: Outcome[] = [];
+  action: (item: Item) => Promise<Value>,
+): Promise<readonly Value[]> {
+  const results: Value[] = [];
   for (let start = 0; start < items.length; start += BATCH_SIZE) {
     const batch = items.slice(start, start + BATCH_SIZE);
-    outcomes.push(...(await Promise.all(batch.map(action))));
+    results.push(...(await Promise.all(batch.map(action))));
   }
-  return outcomes;
+  return results;
 }
--- a/packages/control/tests/commands.test.ts
+++ b/packages/control/tests/commands.test.ts
@@ -297,7 +297,7 @@
     ],
     [
       { platform: { address: 'x' } },
-      '$.platform.address: expected an IP number and a port, 127.0.0.1:4100',
+      '$.platform.address: expected an IP address and a port, 127.0.0.1:4100',
     ],
   ])('rejects the settings %j', (value, problem) => {
     const parsed = parseControlSettings(value);
