--- a/packages/coordination/tests/limits/randomFaults.ts
+++ b/packages/coordination/tests/limits/randomFaults.ts
@@ -99,7 +99,7 @@
   limits: ReadonlyMap<string, BucketSize>,
 ): Promise<void> {
   fleet.faults.set({ errors: 0, latencyMilliseconds: 5, lostAnswers: 0, outage: 'none' });
-  fleet.mendAll();
+  fleet.healAllPartitions();
   for (const instance of fleet.instances) {
     instance.process.resume();
     if (instance.process.state === 'dead' || instance.isLeaving) {
@@ -137,10 +137,10 @@
     instance.process.resume();
   },
   (fleet, instance, other) => {
-    fleet.setCut(instance.name, other.name, true);
+    fleet.setPartitioned(instance.name, other.name, true);
   },
   fleet => {
-    fleet.mendAll();
+    fleet.healAllPartitions();
   },
   (fleet, instance) => {
     if (instance.process.state === 'running') {
--- a/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
@@ -99,7 +99,7 @@
   }
 
   /** Cuts or restores the connection between two instances, in both directions. */
-  public setCut(left: string, right: string, isPartitioned: boolean): void {
+  public setPartitioned(left: string, right: string, isPartitioned: boolean): void {
     for (const pair of [`${left}>${right}`, `${right}>${left}`]) {
       if (isPartitioned) {
         this.partitionedPairs.add(pair);
@@ -110,7 +110,7 @@
   }
 
   /** Restores every connection. */
-  public mendAll(): void {
+  public healAllPartitions(): void {
     this.partitionedPairs.clear();
   }
 
