--- a/packages/rules/src/ruleSet.ts
+++ b/packages/rules/src/ruleSet.ts
@@ -91,7 +91,7 @@
     for (const line of removed) {
       const rule = this.rules.get(line);
       if (rule === undefined || change.removed.has(line)) {
-        errors.push({ expected: 'a line in force', found: line, line: 0 });
+        errors.push({ expected: 'a line in force, to take it out', found: line, line: 0 });
       } else {
         change.removed.set(line, rule);
       }
