--- a/packages/instance/src/bin.ts
+++ b/packages/instance/src/bin.ts
@@ -69,7 +69,7 @@
   .strict()
   .option('settings', {
     default: 'zincring.json',
-    describe: 'file of settings in JSON',
+    describe: 'JSON file with the settings',
     type: 'string',
   })
   .command(
--- a/packages/instance/src/callers/callerRouter.ts
+++ b/packages/instance/src/callers/callerRouter.ts
@@ -23,7 +23,7 @@
   readonly keyWatch: Pick<KeyWatch, 'onWithdrawn'>;
   readonly programRoutes: ProgramRoutes;
   readonly serviceRoutes: ServiceRoutes;
-  /** Returns the monotonic time in milliseconds. */
+  /** Returns the time of the monotonic clock, in milliseconds. */
   readonly now: () => number;
   /** Maximum size of a request body, in bytes. */
   readonly bodyLimitBytes: number;
@@ -37,7 +37,10 @@
   readonly target: RequestTarget;
 }
 
-/** Represents all callers of open routes; the name is invalid for a configured workspace. */
+/**
+ * Workspace to which requests of open routes are attributed. The name is not a valid identifier, so
+ * no configured workspace can have it.
+ */
 export const OPEN_WORKSPACE = '-open' as WorkspaceName;
 
 /** Time for which an admission stays valid while the body arrives, in milliseconds. */
@@ -216,10 +219,10 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-/** Extracts the path and query at the service from a target that names the service in its path. */
+/** Returns the path and query at the service for a target below `/v1/services/`. */
 function pathAtService({ pathname, search }: RequestTarget): string {
-  const [, , , , ...rest] = pathname.split('/');
-  return `/${rest.join('/')}${search}`;
+  const [, , , , ...remainingSegments] = pathname.split('/');
+  return `/${remainingSegments.join('/')}${search}`;
 }
 
 function matchesRoute(pathname: string, { path }: RouteRule): boolean {
--- a/packages/instance/src/util/isSafeMethod.ts
+++ b/packages/instance/src/util/isSafeMethod.ts
@@ -1,7 +1,7 @@
 const SAFE_METHODS: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
 /**
- * Checks whether an HTTP method is safe by definition, so that a request may be repeated.
+ * Checks whether HTTP defines a method as safe; a request with a safe method may be repeated.
  *
  * @example
  * isSafeMethod('GET'); // true
