--- a/packages/instance/src/lifecycle/instance.ts
+++ b/packages/instance/src/lifecycle/instance.ts
@@ -61,7 +61,7 @@
 }
 
 const INCARNATION_BYTES = 6;
-const MAXIMUM_FIRST_LOAN_NUMBER = 2 ** 47;
+const MAXIMUM_FIRST_LOAN_ID = 2 ** 47;
 const LOG_RETRY_DELAY_MILLISECONDS = 200;
 /**
  * Interval at which the holder of the first shard deletes log objects and sessions that are no
@@ -206,7 +206,7 @@
         drainCallers: async () => this.callerServer.drain(),
         drainPeers: async () => this.peerServer.drain(),
         handOver: async () => {
-          // Leases are renewed until the last call has finished: storing its turn needs a valid lease.
+          // Renews leases until the last call has finished: storing its turn needs a valid lease.
           await Promise.all([this.leases.stop(), this.admission.release()]);
           this.renewalTimer?.stop();
         },
@@ -369,7 +369,7 @@
       address: settings.peerAddress,
       clients: this.clients,
       createIncarnation: () => createIncarnation(settings.instance),
-      firstLoanId: randomInt(1, MAXIMUM_FIRST_LOAN_NUMBER),
+      firstLoanId: randomInt(1, MAXIMUM_FIRST_LOAN_ID),
       instance: settings.instance,
       membership: this.membership,
       settings: settings.limits,
--- a/packages/instance/src/operators/operatorService.ts
+++ b/packages/instance/src/operators/operatorService.ts
@@ -8,8 +8,8 @@
 import { instanceToMessage, programToMessage, updateToMessage } from './operatorConversions.js';
 
 /**
- * Registers the operator service on a router. Peers that cannot reach the store also read the
- * configuration from it.
+ * Registers the operator service on a router. Operators use it, and so do peers that cannot reach
+ * the store: they read the configuration from it.
  *
  * @example
  * registerOperatorService(router, statusSource);
--- a/packages/instance/src/operators/operatorStatus.ts
+++ b/packages/instance/src/operators/operatorStatus.ts
@@ -44,6 +44,7 @@
   /** Newest version known to the instance. */
   readonly newestVersion: number;
   readonly blocked: BlockedVersion | undefined;
+  /** Age of the state last read from the store, in milliseconds; `undefined` before the first. */
   readonly storeAgeMilliseconds: number | undefined;
 }
 
--- a/packages/instance/tests/lifecycle/settings.test.ts
+++ b/packages/instance/tests/lifecycle/settings.test.ts
@@ -20,7 +20,7 @@
 }
 
 describe('parseSettings', () => {
-  it('accepts only the required settings and fills in the defaults', () => {
+  it('accepts settings with only the required fields and fills in the defaults', () => {
     expect(parseSettings(JSON.stringify(valid)).unwrap()).toMatchObject({
       ...valid,
       configurationContactMilliseconds: 4_000,
@@ -74,11 +74,14 @@
     expect(problemsOf(settings)).toEqual([problem]);
   });
 
-  it.each(['', '{', 'null', '[]', '"text"', '3'])('refuses the text %j at its root', text => {
-    const problems = problemsOf(text);
-    expect(problems).toHaveLength(1);
-    expect(problems[0]).toMatch(/^\$: /);
-  });
+  it.each(['', '{', 'null', '[]', '"text"', '3'])(
+    'refuses the text %j with one problem at the root path',
+    text => {
+      const problems = problemsOf(text);
+      expect(problems).toHaveLength(1);
+      expect(problems[0]).toMatch(/^\$: /);
+    },
+  );
 
   it('reports all problems, including those between fields', () => {
     const settings = {
