--- a/packages/instance/src/limits/admission.ts
+++ b/packages/instance/src/limits/admission.ts
@@ -5,9 +5,9 @@
 export interface Admission {
   /**
    * Acquires one token of the workspace. Waits if a token is expected within the maximum wait, and
-   * refuses immediately if none is.
+   * refuses immediately otherwise.
    *
-   * @param maximumWaitMilliseconds that of the settings by default
+   * @param maximumWaitMilliseconds maximum wait for a token; by default that of the settings
    */
   admit(
     rule: WorkspaceRule,
--- a/packages/instance/src/limits/fleetAdmission.ts
+++ b/packages/instance/src/limits/fleetAdmission.ts
@@ -49,14 +49,14 @@
   readonly logger: Logger;
   readonly metrics: Metrics;
   readonly createIncarnation: () => IncarnationId;
-  /** Number of the first loan; must differ between the processes of an instance. */
+  /** Identifier of the first loan; must differ between the processes of an instance. */
   readonly firstLoanId: number;
 }
 
 const TICK_INTERVAL_MILLISECONDS = 1_000;
 const SEAT_POLL_INTERVAL_MILLISECONDS = 1_000;
 const BORROW_TIMEOUT_MILLISECONDS = 300;
-/** Ratio of the delay before a newly acquired seat counts to the longest term of a loan. */
+/** Ratio of the delay before an acquired seat grants tokens to the maximum term of a loan. */
 const ACTIVATION_DELAY_FACTOR = 1.05;
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -92,7 +92,10 @@
     this.limiter.configure(configuration.workspaces);
   }
 
-  /** Releases the seats and returns the loans; tokens of other instances still admit requests. */
+  /**
+   * Releases the seats and returns the loans; requests are then admitted with tokens borrowed from
+   * other instances.
+   */
   public async release(): Promise<void> {
     this.tickSubscription?.stop();
     this.limiter.returnLoans();
--- a/packages/instance/src/limits/tokenLender.ts
+++ b/packages/instance/src/limits/tokenLender.ts
@@ -7,7 +7,7 @@
   lend(request: LoanRequest): Loan;
 }
 
-/** Time after which a borrower that was refused may ask again. */
+/** Delay before a refused borrower may request a loan again, in milliseconds. */
 const REFUSAL_RETRY_MILLISECONDS = 60_000;
 
 /** Refuses every loan request. */
