--- a/packages/instance/src/upstreams/engineControlClient.ts
+++ b/packages/instance/src/upstreams/engineControlClient.ts
@@ -10,11 +10,11 @@
 /** Request to release the memory that an engine holds for a program. */
 export interface ReleaseRequest {
   readonly program: ProgramId;
-  /** Fencing token; engines that check it reject one older than the highest they have received. */
+  /** Fencing token; engines that check it reject a token below the highest they have received. */
   readonly fence: Epoch;
 }
 
-/** Outcome of a release: `fenced` if the engine has received a newer fencing token. */
+/** Outcome of a release: `fenced` if the engine has received a higher fencing token. */
 export type ReleaseOutcome = 'done' | 'fenced';
 
 /** Load as an engine reports it, with a lag. */
--- a/packages/instance/src/upstreams/engineMemoryReleaser.ts
+++ b/packages/instance/src/upstreams/engineMemoryReleaser.ts
@@ -23,7 +23,7 @@
   readonly metrics: Metrics;
   /** Interval of retrying releases that were not confirmed, in milliseconds. */
   readonly retryMilliseconds: number;
-  /** Maximum number of pending releases; the sweep finds those dropped beyond it. */
+  /** Maximum number of pending releases; any beyond it are dropped and found by a later sweep. */
   readonly maximumPendingReleases: number;
 }
 
--- a/packages/instance/src/upstreams/poisonGuard.ts
+++ b/packages/instance/src/upstreams/poisonGuard.ts
@@ -11,7 +11,7 @@
 /** Dependencies of a {@link PoisonGuard}. */
 export interface PoisonGuardOptions {
   readonly timers: TimerService;
-  /** Sends this instance's gossip to the others immediately; settles once they have answered. */
+  /** Sends this instance's gossip to the others immediately; settles once they have responded. */
   readonly publishGossip: () => Promise<void>;
 }
 
@@ -21,9 +21,9 @@
 const GOSSIP_TIMEOUT_MILLISECONDS = 300;
 
 /**
- * Refuses poison requests: those that crashed upstreams, counted over all instances. A crash is
- * reported to the other instances before its request is answered or retried, so a resend through
- * any of them is counted.
+ * Refuses poison requests: requests that crashed upstreams, counted over all instances. A crash is
+ * reported to the other instances before the request fails or is retried, so that resends through
+ * any instance are counted.
  */
 export class PoisonGuard implements GossipParticipant {
   public readonly key = 'upstream-deaths';
--- a/packages/instance/src/upstreams/queueingDispatcher.ts
+++ b/packages/instance/src/upstreams/queueingDispatcher.ts
@@ -36,7 +36,7 @@
   readonly digest: BodyDigest;
   readonly prefixes: PrefixChain;
   readonly promptTokens: number;
-  /** Monotonic time in milliseconds. */
+  /** Deadline of the work on the monotonic clock, in milliseconds. */
   readonly deadline: number;
   /** Replicas that failed an attempt, in the order of the attempts. */
   readonly excluded: Set<UpstreamId>;
@@ -226,7 +226,7 @@
   };
 }
 
-/** Estimates the cost of a call with a cached history; the queue corrects it by the actual use. */
+/** Estimates the cost of a call with a cached history; the queue corrects it to the actual use. */
 function estimateCost({ payload }: UpstreamWork): number {
   return payload.protocol === 'plain'
     ? 1
--- a/packages/instance/src/upstreams/replicaTable.ts
+++ b/packages/instance/src/upstreams/replicaTable.ts
@@ -15,7 +15,7 @@
   private liveReplicasByService = new Map<ServiceName, readonly Replica[]>();
   private replicasById = new Map<UpstreamId, Replica>();
 
-  /** Replaces the table by the platform's directory; replicas that are leaving get no new work. */
+  /** Replaces all entries by those of the directory; replicas that are leaving get no new work. */
   public update(entries: readonly DirectoryEntry[]): void {
     const liveByService = new Map<ServiceName, Replica[]>();
     const byId = new Map<UpstreamId, Replica>();
--- a/packages/instance/src/upstreams/serviceQueue.ts
+++ b/packages/instance/src/upstreams/serviceQueue.ts
@@ -46,7 +46,7 @@
 const MINIMUM_RECHECK_MILLISECONDS = 5;
 /**
  * Maximum time until the queue checks again, in milliseconds. The check is needed because the
- * suspicion of a failed replica ends by the passage of time alone.
+ * suspicion of a failed replica expires without any event.
  */
 const MAXIMUM_RECHECK_MILLISECONDS = 250;
 
@@ -144,7 +144,9 @@
     item.settle(Ok({ id: item.id, priority, replica }));
   }
 
-  /** Schedules a check while work waits, since windows and suspicions change by time alone. */
+  /**
+   * Schedules a check while work waits, since windows and suspicions also change without any event.
+   */
   private scheduleRecheck(now: number): void {
     this.recheckTimer?.stop();
     if (this.options.scheduler.size === 0) {
--- a/packages/instance/src/upstreams/serviceQueues.ts
+++ b/packages/instance/src/upstreams/serviceQueues.ts
@@ -47,7 +47,7 @@
   readonly callMilliseconds: number;
   /** Cost of a replica in another availability zone, in milliseconds. */
   readonly zoneMilliseconds: number;
-  /** Maximum number of prefixes kept. */
+  /** Maximum number of prompt prefixes in the index of prefixes that replicas have cached. */
   readonly maximumPrefixes: number;
   /** Number of calls waiting at a replica above which the windows shrink. */
   readonly targetWaiting: number;
--- a/packages/instance/src/upstreams/upstreamRequest.ts
+++ b/packages/instance/src/upstreams/upstreamRequest.ts
@@ -35,7 +35,7 @@
   });
 }
 
-/** Maximum length of a line, or of a response read as a whole, in characters. */
+/** Maximum length of a line, or of a response read as text, in characters. */
 const MAXIMUM_LINE_CHARACTERS = 1_048_576;
 
 /** Reads a response line by line. */
--- a/packages/instance/src/upstreams/upstreams.ts
+++ b/packages/instance/src/upstreams/upstreams.ts
@@ -43,7 +43,7 @@
   readonly configuration: () => Configuration | undefined;
   /** Returns the names of the instances that are alive, including this one. */
   readonly instances: () => ReadonlySet<string>;
-  /** Sends this instance's gossip to the others immediately; settles once they have answered. */
+  /** Sends this instance's gossip to the others immediately; settles once they have responded. */
   readonly publishGossip: () => Promise<void>;
 }
 
--- a/packages/instance/src/upstreams/workspaceUseGossip.ts
+++ b/packages/instance/src/upstreams/workspaceUseGossip.ts
@@ -15,7 +15,7 @@
 
 /** Report of one incarnation of an instance, sent as JSON. */
 interface UseReport {
-  /** Incarnation of the instance; totals start at zero with each, so each is counted separately. */
+  /** Incarnation of the instance; its totals start at zero and are counted separately. */
   readonly run: IncarnationId;
   readonly uses: readonly ServiceUse[];
 }
--- a/packages/instance/tests/upstreams/engineMemoryReleaser.test.ts
+++ b/packages/instance/tests/upstreams/engineMemoryReleaser.test.ts
@@ -23,7 +23,7 @@
 /** Engines that hold memory for programs; they may lose requests or responses, or be down. */
 class FakeEngines implements EngineControlClient {
   public readonly heldPrograms = new Map<UpstreamId, Set<ProgramId>>();
-  public readonly highestFences = new Map<ProgramId, Epoch>();
+  public readonly highestFencingTokens = new Map<ProgramId, Epoch>();
   public lostRequests = 0;
   public lostConfirmations = 0;
   public isDown = false;
@@ -38,14 +38,14 @@
     request: ReleaseRequest,
   ): Promise<Result<ReleaseOutcome, Error>> {
     if (this.isDown || this.lostRequests-- > 0) {
-      return await Promise.resolve(Err(new Error('no answer')));
+      return await Promise.resolve(Err(new Error('no response')));
     }
-    const highest = this.highestFences.get(request.program) ?? (0 as Epoch);
+    const highest = this.highestFencingTokens.get(request.program) ?? (0 as Epoch);
     if (this.checksFencing && request.fence < highest) {
       return Ok('fenced');
     }
     this.heldPrograms.get(replica.id)?.delete(request.program);
-    return this.lostConfirmations-- > 0 ? Err(new Error('no answer')) : Ok('done');
+    return this.lostConfirmations-- > 0 ? Err(new Error('no response')) : Ok('done');
   }
 
   public async listHeldPrograms(replica: Replica): Promise<Result<readonly ProgramId[], Error>> {
@@ -121,10 +121,10 @@
     expect(memoryReleaser.pendingCount).toBe(0);
   });
 
-  it('drops a release that is fenced by a newer holder', async () => {
+  it('drops a release whose fencing token the engine rejects as outdated', async () => {
     const { engines, memoryReleaser } = setUp();
     engines.setHeldPrograms(engine, program);
-    engines.highestFences.set(program, 4 as Epoch);
+    engines.highestFencingTokens.set(program, 4 as Epoch);
     memoryReleaser.recordUse(program, engine);
     await memoryReleaser.releaseProgram(program, 3 as Epoch);
     expect(engines.heldPrograms.get(engine)).toEqual(new Set([program]));
@@ -174,7 +174,7 @@
     });
   }
 
-  it('releases only the memory of programs whose home has crashed', async () => {
+  it('releases only the memory of programs that no longer exist, without a release from their home', async () => {
     const fixture = setUp();
     const liveProgram = 'program-2' as ProgramId;
     fixture.engines.setHeldPrograms(engine, program, liveProgram);
@@ -183,7 +183,7 @@
     expect(fixture.engines.heldPrograms.get(engine)).toEqual(new Set([liveProgram]));
   });
 
-  it('sweeps an engine again after it was down', async () => {
+  it('sweeps an engine again once it is no longer down', async () => {
     const fixture = setUp();
     fixture.engines.setHeldPrograms(engine, program);
     fixture.engines.isDown = true;
