--- a/packages/instance/src/operators/operatorStatus.ts
+++ b/packages/instance/src/operators/operatorStatus.ts
@@ -33,7 +33,7 @@
   readonly state: string;
   /** Number of calls in flight from this instance. */
   readonly inFlight: number;
-  /** Maximum number of calls in flight from this instance; 0 if unlimited. */
+  /** Maximum number of calls in flight from this instance; 0 if there is no window yet. */
   readonly window: number;
 }
 
