--- a/packages/instance/src/programs/branchState.ts
+++ b/packages/instance/src/programs/branchState.ts
@@ -40,8 +40,8 @@
   }
 
   /** Computes the digest that the history would have after one more turn. */
-  public computeNextDigest(request: string, answer: string): HistoryDigest {
-    return extendHistoryDigest(this.headDigest, `${request}\n${answer}`);
+  public computeNextDigest(request: string, response: string): HistoryDigest {
+    return extendHistoryDigest(this.headDigest, `${request}\n${response}`);
   }
 
   /**
--- a/packages/instance/src/programs/callPayload.ts
+++ b/packages/instance/src/programs/callPayload.ts
@@ -23,7 +23,7 @@
   return sha256Hex(Buffer.concat([Buffer.from(`${fieldsJson}\n`), request.body]));
 }
 
-/** Creates the prompt or request that is sent to the upstream. */
+/** Creates the payload for the upstream: a prompt for an engine, a request for a plain service. */
 export function createPayload(
   request: CallRequest,
   state: ProgramState,
@@ -46,8 +46,8 @@
 }
 
 /**
- * Computes the maximum number of tokens that a call can use: those of its prompt, bounded by
- * its length, and those of its answer.
+ * Computes the maximum number of tokens that a call can use: those of its prompt, bounded by its
+ * number of characters, and those of its response. A plain service uses none.
  */
 export function computeMaximumTokens(
   request: CallRequest,
--- a/packages/instance/src/programs/callRunner.ts
+++ b/packages/instance/src/programs/callRunner.ts
@@ -38,8 +38,8 @@
   mayHaveBeenSent: boolean;
 }
 
-/** Status and usage of an upstream's answer. */
-interface UpstreamAnswer {
+/** Status and usage of an upstream's response. */
+interface UpstreamResponse {
   readonly usage: CallUsage;
   readonly status: number;
 }
@@ -53,7 +53,7 @@
 export class CallRunner {
   public constructor(private readonly options: CallRunnerOptions) {}
 
-  /** Runs a call until it has finished; every outcome is reported through `runningCall`. */
+  /** Runs a call until it has finished and reports its outcome through `runningCall`. */
   public async run(
     runningCall: RunningCall,
     homeShard: HomeShard,
@@ -114,7 +114,7 @@
     throw new ZincringError('store-unavailable', { ran: 'no' });
   }
 
-  private async sendToUpstream(context: CallContext): Promise<UpstreamAnswer> {
+  private async sendToUpstream(context: CallContext): Promise<UpstreamResponse> {
     const { runningCall } = context;
     const work = this.createWork(context);
     let status = 0;
@@ -187,12 +187,12 @@
     return Ok(undefined);
   }
 
-  private async storeTurn(context: CallContext, answer: UpstreamAnswer): Promise<void> {
+  private async storeTurn(context: CallContext, response: UpstreamResponse): Promise<void> {
     const { homeShard, runningCall, state } = context;
     if (runningCall.isFinished) {
       throw new ZincringError('call-interrupted');
     }
-    const turn = createTurn(context, answer);
+    const turn = createTurn(context, response);
     const written = homeShard.write(turn);
     if (written.err) {
       throw written.val;
@@ -304,14 +304,14 @@
   }
 }
 
-function createTurn(context: CallContext, answer: UpstreamAnswer): TurnRecord {
+function createTurn(context: CallContext, response: UpstreamResponse): TurnRecord {
   const { homeShard, runningCall, state } = context;
   const { request, requestDigest } = runningCall;
   const parentCall = request.parentCall ?? null;
   const branch = state.getBranch(parentCall);
   const body = Buffer.from(request.body).toString('utf8');
   const text = runningCall.text();
-  const usedTokens = answer.usage.promptTokens + answer.usage.outputTokens;
+  const usedTokens = response.usage.promptTokens + response.usage.outputTokens;
   return {
     ageMilliseconds: homeShard.programs.getAgeMilliseconds(state),
     allowance: state.budget.computeAllowanceAfter(request.call, usedTokens),
@@ -325,8 +325,8 @@
     service: request.service,
     turn: branch.turn + 1,
     type: 'turn',
-    upstreamStatus: answer.status,
-    usage: answer.usage,
+    upstreamStatus: response.status,
+    usage: response.usage,
   };
 }
 
--- a/packages/instance/src/programs/homeShard.ts
+++ b/packages/instance/src/programs/homeShard.ts
@@ -36,8 +36,8 @@
 }
 
 /**
- * Outcome of the wait for a record: `durable`; `stalled`, may become durable later; `lost`, must
- * not be relied on.
+ * Outcome of the wait for a record: `durable`; `stalled`, which may become durable later; or
+ * `lost`, which must not be relied on.
  */
 export type RecordOutcome = 'durable' | 'lost' | 'stalled';
 
@@ -49,7 +49,7 @@
 
 const RECORDS_PER_SNAPSHOT = 500;
 const GROUPS_PER_REFERENCE = 2_000;
-/** Interval at which a lapsed lease is checked for renewal. */
+/** Interval at which a lapsed lease is checked for its renewal or loss. */
 const LAPSED_LEASE_POLL_MILLISECONDS = 200;
 
 /** One shard under one lease: its programs, their mailboxes and their records in the log. */
@@ -118,7 +118,7 @@
     return Ok({ queued: queued.val, record });
   }
 
-  /** Waits until a record is stored or the store fails, and then evaluates the lease's status. */
+  /** Waits until a record is stored or the store fails, and then checks the lease's status. */
   public async waitForOutcome(written: WrittenRecord): Promise<RecordOutcome> {
     const stored = await this.options.log.waitUntilStoredOrStalled(written.queued);
     if (stored === undefined) {
@@ -178,8 +178,8 @@
   }
 
   /**
-   * Stores a snapshot when one is due and moves the start of the replay forward, which bounds the
-   * length of the replay and of the log.
+   * Stores a snapshot in the background when one is due and moves the start of the replay forward,
+   * which bounds the length of the replay and of the log.
    */
   public maintain(): void {
     const { groupsPerReference, log, recordsPerSnapshot } = this.options;
@@ -220,7 +220,7 @@
     }
   }
 
-  /** Records that a record is durable whenever that happens, even after a long outage. */
+  /** Marks a record as durable whenever it becomes so, even after a long outage. */
   private trackDurability(written: WrittenRecord): void {
     const durability = this.awaitDurability(written).finally(() => {
       this.pendingRecords.delete(durability);
--- a/packages/instance/src/programs/programEndListener.ts
+++ b/packages/instance/src/programs/programEndListener.ts
@@ -1,6 +1,6 @@
 import type { Epoch, ProgramId } from '@zincring/core';
 
-/** Receives the ends of programs, so that the memory held for them by engines can be released. */
+/** Is notified when programs end, so that engines can release the memory held for them. */
 export interface ProgramEndListener {
   /**
    * Called when a program has ended. May be called again for the same program, also by a later
--- a/packages/instance/src/programs/programHome.ts
+++ b/packages/instance/src/programs/programHome.ts
@@ -40,7 +40,7 @@
 import { digestRequest } from './callPayload.js';
 import { CallRunner } from './callRunner.js';
 import { HomeShard } from './homeShard.js';
-import { replayAnswer, RunningCall } from './runningCall.js';
+import { replayResponse, RunningCall } from './runningCall.js';
 import { ShardStore } from './shardStore.js';
 import { computeOpeningAllowance } from './tokenBudget.js';
 
@@ -57,19 +57,21 @@
   readonly maximumMailbox: number;
   /** Number of records of a shard since its last snapshot after which a new one is stored. */
   readonly recordsPerSnapshot?: number;
-  /** Number of commit groups of the log after which the start of a shard's replay is moved on. */
+  /**
+   * Number of commit groups of the log after which the start of a shard's replay is moved forward.
+   */
   readonly groupsPerReference?: number;
-  /** Is notified of programs that have ended. */
+  /** Notified when a program has ended. */
   readonly endListener?: ProgramEndListener;
-  /** Counts a workspace's open programs at the other instances, as far as they are known. */
+  /** Counts the open programs of a workspace at the other instances, as last announced by them. */
   readonly countElsewhere?: (workspace: WorkspaceName) => number;
-  /** Notifies of withdrawn keys. */
+  /** Source of key withdrawals; a withdrawal ends the calls that the key authenticated. */
   readonly keyWatch?: Pick<KeyWatch, 'isValid' | 'onWithdrawn'>;
 }
 
 /** Interval at which programs are checked for their end and snapshots for being due. */
 const MAINTENANCE_INTERVAL_MILLISECONDS = 1_000;
-/** Time for which ended programs are kept to answer resends. */
+/** Time for which ended programs are kept so that resends of their calls can be answered. */
 const ENDED_PROGRAM_RETENTION_MILLISECONDS = 10 * 60 * 1_000;
 
 /** Serves the programs whose shards this instance holds. */
@@ -84,7 +86,7 @@
     this.runner = new CallRunner(options);
   }
 
-  /** Starts the periodic maintenance: ends idle and expired programs and renews snapshots. */
+  /** Starts the periodic maintenance: ends idle and expired programs and stores snapshots. */
   public start(): void {
     this.maintenanceTimer ??= this.options.timers.every(MAINTENANCE_INTERVAL_MILLISECONDS, () => {
       this.maintain();
@@ -206,7 +208,7 @@
 
   /**
    * Finds those of the programs that have ended or are unknown. Programs of shards that this
-   * instance does not hold are left out, as only the holder of a shard knows.
+   * instance does not hold are left out, since only the holder of a shard knows its programs.
    */
   public findGone(programs: readonly ProgramId[]): readonly GoneProgram[] {
     return programs.flatMap(program => {
@@ -244,7 +246,7 @@
       return;
     }
     if (knownCall.status === 'done') {
-      yield* replayAnswer(
+      yield* replayResponse(
         knownCall.turn.answer,
         request.fromOffset,
         createClosedFrame(knownCall.turn, state),
--- a/packages/instance/src/programs/programMessages.ts
+++ b/packages/instance/src/programs/programMessages.ts
@@ -40,7 +40,7 @@
 /** Request of one call of a program. */
 export interface CallRequest extends ProgramReference {
   readonly call: CallId;
-  /** Call on whose behalf a sub-agent makes this one; `undefined` for a call of the program. */
+  /** Call on whose behalf a sub-agent makes this one; `undefined` for the program's own calls. */
   readonly parentCall: CallId | undefined;
   /** Number of the turn that the call adds to its branch, starting at 1. */
   readonly turn: number;
@@ -50,11 +50,11 @@
   /** HTTP path at a plain service; empty for an engine. */
   readonly path: string;
   readonly body: Uint8Array;
-  /** Maximum number of tokens of an engine's answer. */
+  /** Maximum number of tokens of an engine's response. */
   readonly maxTokens: number;
   /** Time left for the call; a duration, since instances do not share a clock. */
   readonly timeoutMilliseconds: number;
-  /** Number of answer bytes that the caller already has. */
+  /** Number of response bytes that the caller already has. */
   readonly fromOffset: number;
   /** Whether the request may only attach to an existing call and must not start one. */
   readonly isAttachOnly: boolean;
@@ -69,7 +69,7 @@
   readonly outputTokens: number;
 }
 
-/** Last frame of a complete answer. */
+/** Last frame of a complete response. */
 export interface CallClosed {
   readonly kind: 'closed';
   readonly turn: number;
@@ -77,28 +77,28 @@
   /** Whether the turn would survive the loss of every instance. */
   readonly isDurable: boolean;
   readonly usage: CallUsage;
-  /** HTTP status of a plain service's answer; 0 for an engine. */
+  /** HTTP status of a plain service's response; 0 for an engine. */
   readonly upstreamStatus: number;
 }
 
-/** Frame with a part of an answer. */
+/** Frame with a part of a response. */
 export interface CallData {
   readonly kind: 'data';
-  /** Number of answer bytes before this part. */
+  /** Number of response bytes before this part. */
   readonly offset: number;
   readonly data: Uint8Array;
 }
 
-/** Last frame of a call without a complete answer. */
+/** Last frame of a call without a complete response. */
 export interface CallFailed {
   readonly kind: 'failed';
   readonly error: ZincringError;
 }
 
-/** Frame of an answer: `data` frames in order, then `closed` or `failed`. */
+/** Frame of a response: `data` frames in order, then `closed` or `failed`. */
 export type CallFrame = CallClosed | CallData | CallFailed;
 
-/** Operations on programs for callers, whichever instance holds the programs. */
+/** Operations on programs that callers request, regardless of which instance holds a program. */
 export interface ProgramService {
   open(request: OpenProgramRequest): Promise<Result<ProgramSummary, ZincringError>>;
   describe(reference: ProgramReference): Promise<Result<ProgramSummary, ZincringError>>;
--- a/packages/instance/src/programs/programRecord.ts
+++ b/packages/instance/src/programs/programRecord.ts
@@ -12,7 +12,7 @@
   readonly tokens: number;
   /** Maximum number of calls of the program in total. */
   readonly calls: number;
-  /** Time without a call after which the program ends. */
+  /** Time without calls after which the program ends. */
   readonly idleMilliseconds: number;
   /** Age at which the program ends. */
   readonly lifetimeMilliseconds: number;
@@ -28,7 +28,7 @@
   readonly requestDigest: string;
 }
 
-/** A call added a turn. */
+/** A call succeeded and added a turn to its branch. */
 export interface TurnRecord {
   readonly type: 'turn';
   readonly program: ProgramId;
@@ -41,6 +41,7 @@
   readonly request: string;
   /** Digest of the complete request; distinguishes a resend from a different request. */
   readonly requestDigest: string;
+  /** Response of the upstream as text. */
   readonly answer: string;
   readonly usage: CallUsage;
   readonly upstreamStatus: number;
@@ -75,7 +76,7 @@
   readonly call: CallId;
 }
 
-/** Reason for the end of a program. */
+/** Reason for the end of a program; `asked` when a caller ended it. */
 export type EndReason = 'asked' | 'idle' | 'lifetime';
 
 /** A program ended. */
@@ -85,7 +86,7 @@
   readonly reason: EndReason;
 }
 
-/** An ended program is no longer kept. */
+/** An ended program was removed after its retention time. */
 export interface ForgottenRecord {
   readonly type: 'forgotten';
   readonly program: ProgramId;
--- a/packages/instance/src/programs/programState.ts
+++ b/packages/instance/src/programs/programState.ts
@@ -22,7 +22,10 @@
   readonly ageMilliseconds: number;
 }
 
-/** State of a call by its id: `done` with its turn, `intended` without a turn yet, or unknown. */
+/**
+ * State of a call by its id: `done` with its turn, `intended` if its intent is stored but no turn,
+ * or `unknown`.
+ */
 export type KnownCall =
   | { readonly status: 'done'; readonly turn: TurnRecord }
   | { readonly status: 'intended'; readonly requestDigest: string }
@@ -109,7 +112,7 @@
     return this.branches.get(parentCall) ?? new BranchState(this.program, parentCall);
   }
 
-  /** Service that the program has attained, in the cost unit of the fair queue. */
+  /** Attained service of the program: the cost of its turns, in the cost unit of the fair queue. */
   public get attainedTokens(): number {
     return this.attainedCost;
   }
@@ -126,12 +129,12 @@
       : { requestDigest, status: 'intended' };
   }
 
-  /** Counts a call that starts to run against the maximum number of calls. */
+  /** Counts a call that starts to run as one of the maximum number of calls. */
   public startCall(call: CallId): void {
     this.startedCalls.add(call);
   }
 
-  /** Ends the count of {@link ProgramState.startCall} and releases the call's reserved tokens. */
+  /** Reverts {@link ProgramState.startCall} and releases the call's reserved tokens. */
   public finishCall(call: CallId): void {
     this.startedCalls.delete(call);
     this.budget.release(call);
@@ -164,7 +167,7 @@
     }
   }
 
-  /** Records that a record is durable and that this holder may report it as durable. */
+  /** Marks a record as durable: it is stored, and this holder may report it as durable. */
   public recordDurable(record: ProgramRecord): void {
     switch (record.type) {
       case 'opened':
--- a/packages/instance/src/programs/runningCall.ts
+++ b/packages/instance/src/programs/runningCall.ts
@@ -8,8 +8,8 @@
 export type RunningCallPhase = 'over' | 'queued' | 'running';
 
 /**
- * A queued or running call and its answer so far. Any number of readers can follow the answer, each
- * from its own offset.
+ * A queued or running call and its response so far. Any number of readers can follow the response,
+ * each from its own offset.
  */
 export class RunningCall {
   private phase: RunningCallPhase = 'queued';
@@ -26,12 +26,12 @@
     public readonly requestDigest: string,
   ) {}
 
-  /** Signal that is aborted when the call is. */
+  /** Signal that is aborted together with the call. */
   public get signal(): AbortSignal {
     return this.abortController.signal;
   }
 
-  /** Whether the answer has ended, after which no request may be sent for the call. */
+  /** Whether the response has ended, after which no request may be sent for the call. */
   public get isFinished(): boolean {
     return this.phase === 'over';
   }
@@ -74,12 +74,12 @@
     this.abort(new ZincringErrorClass('key-withdrawn-while-running'));
   }
 
-  /** Length of the answer so far, in bytes. */
+  /** Length of the response so far, in bytes. */
   public get length(): number {
     return this.byteLength;
   }
 
-  /** Appends data to the answer unless it has ended. */
+  /** Appends data to the response unless it has ended. */
   public append(data: Uint8Array): void {
     if (this.isFinished) {
       return;
@@ -89,26 +89,26 @@
     this.notifyReaders();
   }
 
-  /** Ends the answer; only the first end counts. */
+  /** Ends the response; only the first end frame counts. */
   public finish(endFrame: Exclude<CallFrame, { kind: 'data' }>): void {
     this.endFrame ??= endFrame;
     this.phase = 'over';
     this.notifyReaders();
   }
 
-  /** Returns the answer so far as text. */
+  /** Returns the response so far as text. */
   public text(): string {
     return Buffer.concat(this.chunks).toString('utf8');
   }
 
-  /** Waits for the end of the answer. */
+  /** Waits for the end of the response. */
   public async waitForEnd(): Promise<void> {
     while (!this.isFinished) {
       await this.changed;
     }
   }
 
-  /** Yields the frames of the answer from an offset until its end. */
+  /** Yields the frames of the response from an offset until its end. */
   public async *follow(fromOffset: number): AsyncGenerator<CallFrame> {
     let chunkIndex = 0;
     let offset = 0;
@@ -143,13 +143,13 @@
   }
 }
 
-/** Yields the frames of a finished answer from an offset. */
-export async function* replayAnswer(
-  answer: string,
+/** Yields the frames of a finished response from an offset. */
+export async function* replayResponse(
+  response: string,
   fromOffset: number,
   closed: CallClosed,
 ): AsyncGenerator<CallFrame> {
-  const data = Buffer.from(answer);
+  const data = Buffer.from(response);
   if (fromOffset < data.length) {
     yield { data: data.subarray(fromOffset), kind: 'data', offset: fromOffset };
   }
--- a/packages/instance/src/programs/shardStore.ts
+++ b/packages/instance/src/programs/shardStore.ts
@@ -68,8 +68,11 @@
   }
 
   /**
-   * Deletes the snapshots of a shard that are older than a snapshot known to be named in the
-   * shard's row. The row names that snapshot or a later one from then on.
+   * Deletes the snapshots of a shard that are older than the given one. That snapshot must be known
+   * to be named in the shard's row: the row then names it or a later one, never an older one.
+   *
+   * @param current name of the snapshot; `null` when the row names none, in which case only those of
+   *   earlier epochs are deleted
    */
   public async deleteOlder(shard: ShardId, epoch: Epoch, current: string | null): Promise<void> {
     const oldestKeptName = current ?? formatSnapshotName(shard, epoch, 0);
--- a/packages/instance/src/programs/tokenBudget.ts
+++ b/packages/instance/src/programs/tokenBudget.ts
@@ -7,7 +7,7 @@
 export interface TokenBudgetSnapshot {
   /** Tokens counted as used. */
   readonly settled: number;
-  /** Tokens that the holder may have spent. */
+  /** Total tokens of the program that the holder may have spent. */
   readonly allowance: number;
 }
 
@@ -47,6 +47,7 @@
    * Computes the allowance to write to the log with a record.
    *
    * @param call call whose reservation the record replaces by `usedTokens`; `undefined` for none
+   * @param usedTokens tokens that the record counts as used
    */
   public computeAllowanceAfter(call: CallId | undefined, usedTokens: number): number {
     const ownReservation = call === undefined ? 0 : this.getReservedTokens(call);
@@ -97,7 +98,7 @@
     this.settled = Math.max(this.settled, tokens);
   }
 
-  /** Records an allowance that a log record contains; it may not be durable yet. */
+  /** Records an allowance that was written to the log; it may not be durable yet. */
   public grant(allowance: number): void {
     this.grantedAllowance = Math.max(this.grantedAllowance, allowance);
   }
--- a/packages/instance/tests/programs/interruptedHome.test.ts
+++ b/packages/instance/tests/programs/interruptedHome.test.ts
@@ -8,16 +8,16 @@
 const PROGRAM = 'trace-1' as ProgramId;
 
 /**
- * Numbers of interruption points that the home of a running call passes before it is interrupted.
+ * Numbers of interruption points that the home of a running call passes before the home is interrupted.
  * The highest ones lie after the end of the call.
  */
 const interruptionPoints = Array.from({ length: 16 }, (_, interruptionPoint) => interruptionPoint);
 const cases = interruptionPoints.flatMap(interruptionPoint =>
   (['kill', 'pause'] as const).flatMap(action =>
     [true, false].flatMap(hasSideEffect =>
-      [0, 700].map(answerDelayMilliseconds => ({
+      [0, 700].map(responseDelayMilliseconds => ({
         action,
-        answerDelayMilliseconds,
+        responseDelayMilliseconds,
         hasSideEffect,
         interruptionPoint,
       })),
@@ -27,7 +27,7 @@
 
 describe('when the home of a call is interrupted for longer than its lease term', () => {
   it.each(cases)(
-    '$action at interruption point $interruptionPoint, side effect: $hasSideEffect, answers after $answerDelayMilliseconds ms',
+    '$action at interruption point $interruptionPoint, side effect: $hasSideEffect, response delay: $responseDelayMilliseconds ms',
     async testCase => {
       const cluster = new ProgramCluster(2);
       await cluster.advance(2_000);
@@ -44,7 +44,7 @@
         await cluster.advance(200);
       }
       firstHome.dispatcher.latencyMilliseconds = 100;
-      firstHome.answerDelayMilliseconds = testCase.answerDelayMilliseconds;
+      firstHome.answerDelayMilliseconds = testCase.responseDelayMilliseconds;
       callers.call(PROGRAM, firstHome, {
         turnOffset: 1,
         isSubAgentCall: false,
--- a/packages/instance/tests/programs/programCluster.ts
+++ b/packages/instance/tests/programs/programCluster.ts
@@ -60,7 +60,7 @@
   public readonly tokens = new Map<string, number>();
 }
 
-/** Dispatcher to simulated upstreams, which answer after a latency and count their executions. */
+/** Dispatcher to simulated upstreams, which respond after a latency and count their executions. */
 class CountingDispatcher implements UpstreamDispatcher {
   public behaviour: 'answer' | 'break' | 'refuse' = 'answer';
   public latencyMilliseconds = 0;
@@ -347,7 +347,7 @@
   };
 }
 
-/** Reads an answer and returns its last frame. */
+/** Reads a response and returns its last frame. */
 export async function readEndFrame(
   frames: AsyncIterable<CallFrame>,
 ): Promise<Exclude<CallFrame, { kind: 'data' }>> {
@@ -356,5 +356,5 @@
       return frame;
     }
   }
-  throw new Error('the answer ended without a last frame');
+  throw new Error('the response ended without a last frame');
 }
--- a/packages/instance/tests/programs/programHome.test.ts
+++ b/packages/instance/tests/programs/programHome.test.ts
@@ -106,7 +106,7 @@
     expect(cluster.counters.executions.size).toBe(0);
   });
 
-  it('of another workspace get the same answer as for an unknown program', async () => {
+  it('of another workspace get the same error as for an unknown program', async () => {
     const cluster = await createClusterWithProgram();
     const call = createCallRequest(PROGRAM, 'one', 1, { workspace: 'other' as typeof WORKSPACE });
     const end = await cluster.advanceUntilSettled(readEndFrame(cluster.nodes[0]!.home.call(call)));
@@ -178,7 +178,7 @@
     expect(node.endedPrograms).toContain(PROGRAM);
   });
 
-  it('still lets resends be answered for some time before the program is removed', async () => {
+  it('leaves some time for resends to be answered before the program is removed', async () => {
     const cluster = await createClusterWithProgram();
     const { home, timers } = cluster.nodes[0]!;
     await cluster.advanceUntilSettled(
--- a/packages/instance/tests/programs/simulatedCallers.ts
+++ b/packages/instance/tests/programs/simulatedCallers.ts
@@ -20,11 +20,11 @@
   readonly turnOffset: number;
 }
 
-/** Callers that record the answers they received and check them against the later state. */
+/** Callers that record the responses they received and check them against the later state. */
 export class SimulatedCallers {
   private readonly requests: CallRequest[] = [];
   private readonly lastTurnByBranch = new Map<string, number>();
-  private readonly durableAnswers = new Map<string, { request: CallRequest; end: CallClosed }>();
+  private readonly durableResponses = new Map<string, { request: CallRequest; end: CallClosed }>();
   /** Number of attempts of each call that were not reported as not run. */
   private readonly possibleExecutions = new Map<string, number>();
 
@@ -55,7 +55,7 @@
    * reported as not run did run, and no program exceeded its token budget.
    */
   public async checkGuarantees(): Promise<void> {
-    for (const { end, request } of this.durableAnswers.values()) {
+    for (const { end, request } of this.durableResponses.values()) {
       const homeNode = await this.cluster.findHomeNode(request.program);
       const repeated = await this.cluster.advanceUntilSettled(
         readEndFrame(homeNode.home.call(request)),
@@ -93,7 +93,7 @@
     const branch = `${request.program}/${request.parentCall ?? ''}`;
     this.lastTurnByBranch.set(branch, Math.max(end.turn, this.lastTurnByBranch.get(branch) ?? 0));
     if (end.isDurable) {
-      this.durableAnswers.set(key, { end, request });
+      this.durableResponses.set(key, { end, request });
     }
   }
 
