--- a/packages/instance/src/peers/frameSequence.ts
+++ b/packages/instance/src/peers/frameSequence.ts
@@ -13,10 +13,9 @@
   public constructor(private expectedOffset: number) {}
 
   /**
-   * Accepts the next frame.
+   * Accepts the next frame; throws {@link HomeUnreachableError} on a gap.
    *
-   * @returns the frame without repeated bytes; `undefined` when all of them are repeated. Throws
-   *   {@link HomeUnreachableError} on a gap
+   * @returns the frame without repeated bytes; `undefined` when all of them are repeated
    */
   public accept(message: CallFrameMessage): CallFrame | undefined {
     const frame = frameFromMessage(message);
--- a/packages/instance/src/peers/heartbeats.ts
+++ b/packages/instance/src/peers/heartbeats.ts
@@ -17,7 +17,7 @@
 import type { PeerClients } from './peerClients.js';
 import type { GossipParticipant } from './gossipParticipant.js';
 
-/** Description of an instance that it sends with its heartbeats. */
+/** Description of this instance that its heartbeats contain. */
 export interface SelfDescription {
   readonly id: InstanceId;
   readonly address: string;
@@ -40,7 +40,7 @@
   readonly onDirectoryRead: (entries: Parameters<Membership['updateFromDirectory']>[0]) => void;
 }
 
-/** Exchanges the state of this instance and of its peers by periodic heartbeats. */
+/** Exchanges periodic heartbeats with the peers, and the gossip of the participants with them. */
 export class Heartbeats {
   private readonly subscriptions: TimerSubscription[] = [];
 
@@ -82,14 +82,16 @@
     }
   }
 
-  /** Sends a heartbeat to every peer; resolves once each has answered or failed. */
+  /** Sends a heartbeat to every peer; resolves once each has responded or failed. */
   public async exchangeWithPeers(): Promise<void> {
     const { known } = this.options.membership;
     await Promise.allSettled(known.map(async peer => this.exchangeWith(peer.address)));
   }
 
   /** Applies the heartbeat of another instance and returns the one of this instance. */
-  public answer(request: ExchangeRequest): Omit<ExchangeResponse, '$typeName' | '$unknown'> {
+  public handleHeartbeat(
+    request: ExchangeRequest,
+  ): Omit<ExchangeResponse, '$typeName' | '$unknown'> {
     this.applyHeartbeat(request);
     return this.createHeartbeat();
   }
--- a/packages/instance/src/peers/homeRetry.ts
+++ b/packages/instance/src/peers/homeRetry.ts
@@ -6,7 +6,7 @@
 export interface HomeRetryOptions {
   /** Returns the monotonic time, in milliseconds. */
   readonly now: () => number;
-  /** Maximum time in which no home answers before the request fails, in milliseconds. */
+  /** Maximum time without a response from a home before the request fails, in milliseconds. */
   readonly maximumWaitMilliseconds: number;
   /** Deadline on the clock of {@link HomeRetryOptions.now}, after which nothing is retried. */
   readonly deadline: number;
@@ -14,14 +14,14 @@
 
 /** Decides whether a failed attempt is retried, and which error the caller gets when it is not. */
 export class HomeRetry {
-  /** Length of the answer at the last {@link HomeRetry.recordProgress}, in bytes. */
+  /** Length of the response at the last {@link HomeRetry.recordProgress}, in bytes. */
   public recordedLength = 0;
   private failingSince: number | undefined;
   private mayHaveRun = false;
 
   public constructor(private readonly options: HomeRetryOptions) {}
 
-  /** Restarts the maximum wait because more of the answer has arrived. */
+  /** Restarts the maximum wait because more of the response has arrived. */
   public recordProgress(recordedLength: number): void {
     this.recordedLength = recordedLength;
     this.failingSince = undefined;
--- a/packages/instance/src/peers/peerClients.ts
+++ b/packages/instance/src/peers/peerClients.ts
@@ -17,7 +17,7 @@
 /** Time without data on a connection with open streams before a ping is sent, in milliseconds. */
 const PING_INTERVAL_MILLISECONDS = 1_000;
 
-/** Time without an answer to a ping before the connection counts as broken, in milliseconds. */
+/** Time without a response to a ping before the connection counts as broken, in milliseconds. */
 const PING_TIMEOUT_MILLISECONDS = 3_000;
 
 /** Keeps one HTTP/2 connection for each peer address in use. */
--- a/packages/instance/src/peers/peerConversions.ts
+++ b/packages/instance/src/peers/peerConversions.ts
@@ -120,7 +120,7 @@
   };
 }
 
-/** Converts a frame of an answer for another instance. */
+/** Converts a frame of a response for another instance. */
 export function frameToMessage(frame: CallFrame): MessageInitShape<typeof CallFrameSchema> {
   switch (frame.kind) {
     case 'data':
@@ -143,7 +143,7 @@
   }
 }
 
-/** Converts a frame of an answer that another instance sent. */
+/** Converts a frame of a response that another instance sent. */
 export function frameFromMessage(message: CallFrameMessage): CallFrame {
   const { frame } = message;
   switch (frame.case) {
--- a/packages/instance/src/peers/peerGoneProgramFinder.ts
+++ b/packages/instance/src/peers/peerGoneProgramFinder.ts
@@ -5,7 +5,7 @@
 import type { GoneProgram, GoneProgramFinder } from '../upstreams/engineSweeper.js';
 import type { PeerClients } from './peerClients.js';
 
-/** Options of a lookup of removed programs at their homes. */
+/** Options of {@link PeerGoneProgramFinder}. */
 export interface PeerGoneProgramFinderOptions {
   readonly clients: PeerClients;
   readonly shardCount: number;
@@ -30,14 +30,15 @@
 
   public async findGone(programs: readonly ProgramId[]): Promise<readonly GoneProgram[]> {
     const byAddress = this.groupByHomeAddress(programs);
-    const answers = await Promise.all(
+    const goneByHome = await Promise.all(
       [...byAddress].map(async ([address, programsAtHome]) =>
         this.findGoneAt(address, programsAtHome),
       ),
     );
-    return answers.flat();
+    return goneByHome.flat();
   }
 
+  /** Groups programs by the peer address of their home; the empty one represents this instance. */
   private groupByHomeAddress(
     programs: readonly ProgramId[],
   ): ReadonlyMap<string, readonly ProgramId[]> {
@@ -69,7 +70,7 @@
         program: program as ProgramId,
       }));
     } catch {
-      // A home that did not answer is asked again in the next sweep.
+      // A home that did not respond is asked again in the next sweep.
       return [];
     }
   }
--- a/packages/instance/src/peers/peerServer.ts
+++ b/packages/instance/src/peers/peerServer.ts
@@ -36,6 +36,7 @@
 
 /** Dependencies of {@link PeerServer}. */
 export interface PeerServerOptions {
+  /** Serves the programs that this instance holds. */
   readonly home: ProgramService;
   readonly heartbeats: Heartbeats;
   /** Returns those programs that have ended or are unknown, for shards that this instance holds. */
@@ -46,7 +47,7 @@
   readonly timers: TimerService;
 }
 
-/** Maximum time for peers to read the ends of their streams while draining, in milliseconds. */
+/** Maximum time for peers to read their streams to the end while draining, in milliseconds. */
 const DRAIN_TIMEOUT_MILLISECONDS = 15_000;
 
 /** Serves other instances over HTTP/2. */
@@ -70,7 +71,7 @@
               summaryResultToMessage(await options.home.describe(referenceFromMessage(message))),
             endProgram: async message =>
               summaryResultToMessage(await options.home.end(referenceFromMessage(message))),
-            exchange: message => options.heartbeats.answer(message),
+            exchange: message => options.heartbeats.handleHeartbeat(message),
             findGone: message => ({
               gone: options
                 .findGone(message.programs as readonly string[] as readonly ProgramId[])
@@ -115,8 +116,8 @@
 
   /**
    * Accepts no new streams, waits for the open ones to end and then closes the connections. The
-   * wait for a peer that has stopped reading is bounded: the work on every stream has finished by
-   * then.
+   * wait is bounded, since a peer may have stopped reading; by its end, the work on every stream has
+   * finished.
    */
   public async drain(): Promise<void> {
     this.isDraining = true;
@@ -144,7 +145,7 @@
   }
 }
 
-/** Yields the frames of an answer; the closing one has the length of the answer as its offset. */
+/** Yields the frames of a response; the offset of the closing one is the response's length. */
 async function* createFrameMessages(
   frames: AsyncIterable<CallFrame>,
   { fromOffset }: Pick<CallRequest, 'fromOffset'>,
--- a/packages/instance/src/peers/remoteProgramService.ts
+++ b/packages/instance/src/peers/remoteProgramService.ts
@@ -25,7 +25,7 @@
 /** Margin of the timeout of a stream over that of its call, in milliseconds. */
 const STREAM_TIMEOUT_MARGIN_MILLISECONDS = 2_000;
 
-/** Forwards requests for programs to their home, another instance. */
+/** Forwards requests for programs to their home on another instance. */
 export class RemoteProgramService implements ProgramService {
   public constructor(private readonly client: PeerClient) {}
 
--- a/packages/instance/src/peers/answerRelay.ts
+++ b/packages/instance/src/peers/responseRelay.ts
@@ -4,18 +4,21 @@
 
 import type { CallData } from '../programs/programMessages.js';
 
-/** Outcome of a data frame: it differs from the bytes relayed, repeats them, or has new ones. */
+/**
+ * Outcome of a data frame: `differs` from the bytes relayed, `known` if it only repeats them, or
+ * `passed` with the new bytes to relay.
+ */
 export type RelayOutcome =
   | { readonly kind: 'differs' }
   | { readonly kind: 'known' }
   | { readonly kind: 'passed'; readonly frame: CallData };
 
 /**
- * Relays each byte of an answer exactly once across attempts, each of which sends the answer from
- * its first byte. Bytes relayed before are compared by digest, so that an answer generated again is
- * never joined to the beginning of an earlier one.
+ * Relays each byte of a response exactly once across attempts, each of which sends the response from
+ * its first byte. Bytes relayed before are compared by digest, so that a response generated again
+ * is never joined to the beginning of an earlier one.
  */
-export class AnswerRelay {
+export class ResponseRelay {
   private readonly relayedHash: Hash = createHash('sha256');
   private attemptHash: Hash = createHash('sha256');
   private attemptLength = 0;
@@ -26,18 +29,18 @@
     return this.relayedLength;
   }
 
-  /** Whether the running attempt has reached the end of the bytes relayed. */
+  /** Whether the current attempt has reached the end of the bytes relayed. */
   public get hasCaughtUp(): boolean {
     return this.attemptLength === this.relayedLength;
   }
 
-  /** Starts another attempt, from the first byte of the answer. */
+  /** Starts another attempt, from the first byte of the response. */
   public restart(): void {
     this.attemptHash = createHash('sha256');
     this.attemptLength = 0;
   }
 
-  /** Accepts the next frame of the running attempt. Frames must come in order and without gaps. */
+  /** Accepts the next frame of the current attempt. Frames must be in order and without gaps. */
   public accept(frame: CallData): RelayOutcome {
     const repeatedByteCount = Math.min(frame.data.length, this.relayedLength - this.attemptLength);
     if (repeatedByteCount > 0) {
--- a/packages/instance/src/peers/routedProgramService.ts
+++ b/packages/instance/src/peers/routedProgramService.ts
@@ -15,7 +15,7 @@
 import type { PeerClients } from './peerClients.js';
 import type { ShardLocations } from './shardLocations.js';
 
-import { AnswerRelay } from './answerRelay.js';
+import { ResponseRelay } from './responseRelay.js';
 import { HomeRetry } from './homeRetry.js';
 import { HomeUnreachableError } from './homeUnreachableError.js';
 import { RemoteProgramService } from './remoteProgramService.js';
@@ -23,6 +23,7 @@
 /** Dependencies of {@link RoutedProgramService}. */
 export interface RoutedProgramServiceOptions {
   readonly self: InstanceId;
+  /** Serves the programs that this instance holds. */
   readonly home: ProgramService;
   readonly isHeldHere: (shard: ShardId) => boolean;
   readonly membership: Membership;
@@ -30,7 +31,7 @@
   readonly clients: PeerClients;
   readonly timers: TimerService;
   readonly shardCount: number;
-  /** Maximum wait for a holder of a shard that answers, in milliseconds. */
+  /** Maximum wait for a holder of a shard that responds, in milliseconds. */
   readonly handoverWaitMilliseconds: number;
 }
 
@@ -57,15 +58,15 @@
 
   /**
    * Relays a call from the home of its program. A home that has become unreachable is looked up
-   * again, and a broken stream is resumed where it broke. Once a byte of the answer has arrived, no
+   * again, and a broken stream is resumed where it broke. Once a byte of the response has arrived, no
    * attempt may start the call again.
    */
   public async *call(request: CallRequest): AsyncGenerator<CallFrame> {
     const deadline = this.options.timers.now() + request.timeoutMilliseconds;
-    const relay = new AnswerRelay();
+    const relay = new ResponseRelay();
     const retry = this.startRetry(deadline);
     for (;;) {
-      const endFrame = yield* this.followOnce(request, relay, deadline);
+      const endFrame = yield* this.relayAttempt(request, relay, deadline);
       if (relay.length > retry.recordedLength) {
         retry.recordProgress(relay.length);
       }
@@ -83,9 +84,10 @@
     }
   }
 
-  private async *followOnce(
+  /** Relays the response of one attempt and returns the frame that ends it. */
+  private async *relayAttempt(
     request: CallRequest,
-    relay: AnswerRelay,
+    relay: ResponseRelay,
     deadline: number,
   ): AsyncGenerator<CallFrame, Exclude<CallFrame, { kind: 'data' }>> {
     const attemptRequest: CallRequest = {
@@ -98,11 +100,11 @@
         return frame;
       }
       if (frame.kind === 'closed') {
-        return relay.hasCaughtUp ? frame : createAnswerDiffersFrame();
+        return relay.hasCaughtUp ? frame : createResponseDiffersFrame();
       }
       const outcome = relay.accept(frame);
       if (outcome.kind === 'differs') {
-        return createAnswerDiffersFrame();
+        return createResponseDiffersFrame();
       }
       if (outcome.kind === 'passed') {
         yield outcome.frame;
@@ -153,7 +155,7 @@
   }
 }
 
-function createAnswerDiffersFrame(): Extract<CallFrame, { kind: 'failed' }> {
+function createResponseDiffersFrame(): Extract<CallFrame, { kind: 'failed' }> {
   return {
     error: new ZincringError('call-interrupted', { detail: 'the answer was made anew' }),
     kind: 'failed',
--- a/packages/instance/tests/peers/routedProgramService.test.ts
+++ b/packages/instance/tests/peers/routedProgramService.test.ts
@@ -15,7 +15,11 @@
 import { RoutedProgramService } from '../../src/peers/routedProgramService.js';
 import { ShardLocations } from '../../src/peers/shardLocations.js';
 
-/** Fault of one attempt; `remake` has the home send other bytes from then on. */
+/**
+ * Fault of one attempt: `cut` breaks the stream after some frames, `drop`, `repeat` and `swap`
+ * change the sequence of frames, `refuse` refuses the call, and `remake` makes the home send other
+ * bytes from then on.
+ */
 type Fault =
   | { readonly kind: 'cut'; readonly after: number }
   | { readonly kind: 'drop'; readonly frame: number }
@@ -58,11 +62,11 @@
   return [...frames, create(CallFrameSchema, { frame: closed, offset: BigInt(offset) })];
 }
 
-/** Home that applies one fault of a list to each attempt, and none to the attempts after them. */
+/** Home that applies one fault of a list to each attempt, and none after the end of the list. */
 class FaultyHome {
   public attempts = 0;
   public starts = 0;
-  private isAnswerChanged = false;
+  private isResponseChanged = false;
 
   public constructor(
     private readonly parts: readonly Uint8Array[],
@@ -77,8 +81,8 @@
       yield create(CallFrameSchema, { frame: { case: 'error', value: error } });
       return;
     }
-    this.isAnswerChanged ||= fault?.kind === 'remake';
-    const parts = this.isAnswerChanged
+    this.isResponseChanged ||= fault?.kind === 'remake';
+    const parts = this.isResponseChanged
       ? this.parts.map(part => part.map(byte => byte ^ 1))
       : this.parts;
     yield* applyFault(framesOf(parts), fault);
@@ -165,26 +169,26 @@
   fc.record({ frame: fc.nat(9), kind: fc.constantFrom('drop', 'repeat', 'swap') }),
   fc.constantFrom({ kind: 'refuse' } as const, { kind: 'remake' } as const),
 );
-const answerParts = fc.array(fc.uint8Array({ maxLength: 5, minLength: 1 }), { maxLength: 8 });
+const responseParts = fc.array(fc.uint8Array({ maxLength: 5, minLength: 1 }), { maxLength: 8 });
 
 describe(RoutedProgramService, () => {
-  it('relays each byte of one answer once, or ends with an error, under any faults of the home', async () => {
+  it('relays each byte of one response once, or ends with an error, under any faults of the home', async () => {
     await fc.assert(
-      fc.asyncProperty(answerParts, fc.array(faults, { maxLength: 4 }), async (parts, plan) => {
+      fc.asyncProperty(responseParts, fc.array(faults, { maxLength: 4 }), async (parts, plan) => {
         const home = new FaultyHome(parts, plan);
         const frames = await collectFrames(home);
         const end = frames.at(-1)!;
         const data = frames.filter(frame => frame.kind === 'data');
         const received = Buffer.concat(data.map(frame => frame.data));
-        const completeAnswer = Buffer.concat(parts);
-        const changedAnswer = Buffer.from(completeAnswer.map(byte => byte ^ 1));
-        const isPrefix = [completeAnswer, changedAnswer].some(each =>
+        const completeResponse = Buffer.concat(parts);
+        const changedResponse = Buffer.from(completeResponse.map(byte => byte ^ 1));
+        const isPrefix = [completeResponse, changedResponse].some(each =>
           each.subarray(0, received.length).equals(received),
         );
         expect(isPrefix).toBe(true);
         expect(frames.slice(0, -1).every(frame => frame.kind === 'data')).toBe(true);
         if (end.kind === 'closed') {
-          expect(received.length).toBe(completeAnswer.length);
+          expect(received.length).toBe(completeResponse.length);
         } else {
           expect(end).toMatchObject({ error: { kind: 'call-interrupted', ran: 'maybe' } });
         }
@@ -196,7 +200,7 @@
     );
   });
 
-  it('does not start a call again once a byte of its answer has arrived', async () => {
+  it('does not start a call again once a byte of its response has arrived', async () => {
     const home = new FaultyHome([Buffer.from('abc')], [{ after: 1, kind: 'cut' }]);
     await collectFrames(home);
     expect(home).toMatchObject({ attempts: 2, starts: 1 });
--- a/packages/instance/tests/peers/unexpectedPeerBehaviour.test.ts
+++ b/packages/instance/tests/peers/unexpectedPeerBehaviour.test.ts
@@ -6,7 +6,7 @@
 import { PeerConfigurationSource } from '../../src/configuration/peerConfigurationSource.js';
 import { PeerClients } from '../../src/peers/peerClients.js';
 
-/** Ways in which a server that is no peer may treat a connection. */
+/** Ways in which a server that is not a peer may treat a connection. */
 const unexpectedBehaviours: readonly (readonly [string, (socket: Socket) => void])[] = [
   ['answers in HTTP/1.1', socket => socket.end('HTTP/1.1 400 Bad Request\r\n\r\n')],
   ['sends bytes that belong to no protocol', socket => socket.write(Buffer.alloc(4_096, 7))],
