--- a/packages/instance/src/configuration/changeHistory.ts
+++ b/packages/instance/src/configuration/changeHistory.ts
@@ -2,15 +2,15 @@
 
 /** Maximum number of changes kept. */
 const MAXIMUM_CHANGES = 256;
-/** Maximum number of characters in the lines of the changes kept. */
+/** Maximum total number of characters in the lines of the changes kept. */
 const MAXIMUM_CHARACTERS = 256 * 1024;
 
-/** Keeps the latest changes for peers that cannot reach the store. */
+/** Keeps the latest changes in memory for peers that cannot reach the store. */
 export class ChangeHistory {
   private changes: Change[] = [];
   private characters = 0;
 
-  /** Adds a change; one that does not directly follow the last starts the history from scratch. */
+  /** Adds a change; if it does not directly follow the last one, all earlier changes are removed. */
   public add(change: Change): void {
     const last = this.changes.at(-1);
     if (last !== undefined && last.version + 1 !== change.version) {
@@ -37,7 +37,7 @@
    * Returns the update that brings a reader of a version up to the newest: the changes since then,
    * or a snapshot when the changes kept do not reach back far enough.
    */
-  public updateAfter(after: number, newest: number, snapshot: () => Snapshot): Update {
+  public getUpdateAfter(after: number, newest: number, snapshot: () => Snapshot): Update {
     const oldestVersion = this.changes[0]?.version;
     if (oldestVersion !== undefined && oldestVersion <= after + 1) {
       const changes = this.changes.filter(change => change.version > after);
--- a/packages/instance/src/configuration/configurationFollower.ts
+++ b/packages/instance/src/configuration/configurationFollower.ts
@@ -14,7 +14,7 @@
 export interface ConfigurationFollowerOptions {
   readonly store: ConfigurationSource;
   /** Returns the source that reads from a peer; `undefined` when the peer is not known. */
-  readonly peer: (instance: InstanceId) => ConfigurationSource | undefined;
+  readonly findPeerSource: (instance: InstanceId) => ConfigurationSource | undefined;
   readonly freshness: ConfigurationFreshness;
   readonly timers: TimerService;
   readonly logger: Logger;
@@ -68,10 +68,10 @@
   }
 
   /**
-   * Whether callers may be served: either the configuration was confirmed to be current within the
-   * contact time, so that any version not in force yet is recent, or no newer version is known and
-   * a majority of the instances, which would report one, is heard from. A version that cannot be
-   * applied stops only an instance that has not been ready before.
+   * Whether callers may be served. Either the configuration was confirmed to be current within the
+   * contact time, so that a newer version can only have been accepted since then; or no newer
+   * version is known although a majority of the instances, which would report one, is heard from. A
+   * version that cannot be applied makes only those instances unready that were never ready before.
    */
   public get isReady(): boolean {
     const { freshness } = this.options;
@@ -115,7 +115,7 @@
 
   /** Returns the update that brings a reader of a version up to the one in force here. */
   public updateAfter(after: number): Update {
-    return this.rules.updateAfter(after, this.newestVersion);
+    return this.rules.getUpdateAfter(after, this.newestVersion);
   }
 
   /** Starts polling for changes. */
@@ -153,7 +153,7 @@
     });
   }
 
-  /** Reads newer versions from the store; a call during a running poll adds another read to it. */
+  /** Reads newer versions from the store; a call during a running poll makes that poll read again. */
   public async poll(): Promise<void> {
     this.options.freshness.recordActivity();
     this.pollRequestCount++;
@@ -207,7 +207,7 @@
   }
 
   private async readFromPeer(instance: InstanceId): Promise<void> {
-    const source = this.options.peer(instance);
+    const source = this.options.findPeerSource(instance);
     if (source === undefined || this.isReadingFromPeer) {
       return;
     }
@@ -238,7 +238,7 @@
     }
   }
 
-  /** Calls a listener; its failure does not prevent the calls of the others. */
+  /** Calls a listener and logs its failure, so that the other listeners are still called. */
   private notifyListener(
     listener: ConfigurationListener,
     configuration: Configuration,
--- a/packages/instance/src/configuration/configurationFreshness.ts
+++ b/packages/instance/src/configuration/configurationFreshness.ts
@@ -99,7 +99,8 @@
 
   /**
    * Records that this process is running. After a pause longer than the contact time, reports that
-   * peers sent during the pause are still waiting to be read and confirm nothing.
+   * peers sent during the pause may still be unread; as they are outdated and confirm nothing,
+   * reports are then ignored for a short time.
    */
   public recordActivity(): void {
     const now = this.options.timers.now();
--- a/packages/instance/src/configuration/configurationGossip.ts
+++ b/packages/instance/src/configuration/configurationGossip.ts
@@ -10,7 +10,7 @@
   version: z.number().int().nonnegative(),
   /** Newest version that the sender knows to have been accepted. */
   newest: z.number().int().nonnegative(),
-  /** Milliseconds since the sender itself read the store. */
+  /** Time since the sender itself read the store, in milliseconds. */
   storeAge: z.number().nonnegative().optional(),
 });
 
--- a/packages/instance/src/configuration/createConfigurationFollower.ts
+++ b/packages/instance/src/configuration/createConfigurationFollower.ts
@@ -27,7 +27,7 @@
   options: CreateConfigurationFollowerOptions,
 ): ConfigurationFollower {
   const { logger, membership, metrics, platform, settings, timers } = options;
-  const peer = (instance: InstanceId): ConfigurationSource | undefined => {
+  const findPeerSource = (instance: InstanceId): ConfigurationSource | undefined => {
     const known = membership.known.find(({ id }) => id === instance);
     return known === undefined ? undefined : new PeerConfigurationSource(known.address);
   };
@@ -39,7 +39,7 @@
     }),
     logger,
     metrics,
-    peer,
+    findPeerSource,
     pollMilliseconds: settings.configurationPollMilliseconds,
     store: new StoreConfigurationSource(
       new VersionedChanges({ ...platform, name: 'configuration', timers }),
--- a/packages/instance/src/configuration/keyWatch.ts
+++ b/packages/instance/src/configuration/keyWatch.ts
@@ -4,7 +4,7 @@
 
 import type { ConfigurationFollower } from './configurationFollower.js';
 
-/** Called once, when the key has been withdrawn. */
+/** Called once when the key has been withdrawn. */
 export type WithdrawalListener = () => void;
 
 /** Options of {@link KeyWatch}. */
--- a/packages/instance/src/configuration/rulesInForce.ts
+++ b/packages/instance/src/configuration/rulesInForce.ts
@@ -28,7 +28,7 @@
 /**
  * Holds the rules in force, whose version never decreases. When a version cannot be applied, the
  * last valid one stays in force, except that the keys that the newer version withdraws become
- * invalid. Later versions are applied together with it, so that a further change can correct it.
+ * invalid. Later changes are first applied together with it, so that one of them can correct it.
  */
 export class RulesInForce {
   private rules = new RuleSet();
@@ -77,11 +77,11 @@
   }
 
   /** Returns the update that brings a reader of a version up to the one in force here. */
-  public updateAfter(after: number, newest: number): Update {
+  public getUpdateAfter(after: number, newest: number): Update {
     if (after >= this.version) {
       return { changes: [], newest, snapshot: undefined };
     }
-    return this.history.updateAfter(after, newest, () => ({
+    return this.history.getUpdateAfter(after, newest, () => ({
       lines: this.rules.lines,
       version: this.version,
     }));
--- a/packages/instance/tests/configuration/configurationFollower.test.ts
+++ b/packages/instance/tests/configuration/configurationFollower.test.ts
@@ -113,7 +113,7 @@
   it('stops an instance that knows of a newer version but cannot read it', async () => {
     const fleet = await startFleet();
     const [lagging] = fleet.instances;
-    lagging!.canAskPeers = false;
+    lagging!.canReadFromPeers = false;
     disconnectFromStore([lagging!], 'refuse');
     await fleet.accept('next', [], [keyLine('1')]);
     await fleet.timers.advance(IN_FORCE_MILLISECONDS);
@@ -161,6 +161,11 @@
   });
 });
 
+/**
+ * Step of a scenario. `cut` disconnects an instance of the minority from the store, `isolate` also
+ * from its peers; `partition` moves an instance to a network partition; `lose` loses responses of
+ * the store to the operator; `outage` makes the store unavailable to all instances.
+ */
 interface Fault {
   readonly kind:
     'accept' | 'crash' | 'cut' | 'heal' | 'isolate' | 'lose' | 'outage' | 'partition' | 'restart';
@@ -188,6 +193,7 @@
 
 /** Applies faults to a fleet and checks its invariants after each step. */
 class FleetScenario {
+  /** Time of acceptance of each version, by version. */
   private readonly acceptedAt: number[] = [0];
   private readonly highestVersions = new Map<ModelInstance['follower'], number>();
   private isStoreUnavailable = false;
--- a/packages/instance/tests/configuration/fleetModel.ts
+++ b/packages/instance/tests/configuration/fleetModel.ts
@@ -30,8 +30,8 @@
   public readonly faults: FaultSwitch;
   public isRunning = true;
   /** Whether its reads of the configuration from peers succeed. */
-  public canAskPeers = true;
-  /** Network partition; instances in different groups cannot reach each other. */
+  public canReadFromPeers = true;
+  /** Number of the network partition; instances in different partitions cannot reach each other. */
   public group = 0;
   public follower: ConfigurationFollower;
   private gossip: ConfigurationGossip;
@@ -69,9 +69,9 @@
   /** Exchanges heartbeats with a peer. */
   public exchange(other: ModelInstance): void {
     const request = this.gossip.createUpdate();
-    const answer = other.gossip.createUpdate();
+    const response = other.gossip.createUpdate();
     other.gossip.applyUpdate(this.id, request);
-    this.gossip.applyUpdate(other.id, answer);
+    this.gossip.applyUpdate(other.id, response);
   }
 
   private createFollower(): ConfigurationFollower {
@@ -84,18 +84,18 @@
       }),
       logger: silentLogger,
       metrics: discardingMetrics,
-      peer: id => this.peerSource(id),
+      findPeerSource: id => this.createPeerSource(id),
       pollMilliseconds: POLL_MILLISECONDS,
       store: new StoreConfigurationSource(fleet.createChanges(this.faults)),
       timers: fleet.timers,
     });
   }
 
-  private peerSource(id: InstanceId): ConfigurationSource {
+  private createPeerSource(id: InstanceId): ConfigurationSource {
     return {
       read: async ({ after }: UpdateRequest): Promise<Result<Update, SourceFailure>> => {
         const peer = this.fleet.instances.find(each => each.id === id);
-        const isReachable = peer !== undefined && this.canAskPeers && this.canReach(peer);
+        const isReachable = peer !== undefined && this.canReadFromPeers && this.canReach(peer);
         return await Promise.resolve(
           isReachable ? Ok(peer.follower.updateAfter(after)) : Err({ message: 'not reached' }),
         );
@@ -131,7 +131,7 @@
     });
   }
 
-  /** Accepts one change; returns its version, or `undefined` when the store did not confirm it. */
+  /** Writes a change as an operator; returns its version, or `undefined` if it was not confirmed. */
   public async accept(
     changeId: string,
     added: readonly string[],
--- a/packages/instance/tests/configuration/keyWatch.test.ts
+++ b/packages/instance/tests/configuration/keyWatch.test.ts
@@ -18,7 +18,7 @@
 
 function setUp(maximumListeners = 10): {
   readonly watch: KeyWatch;
-  readonly withdraw: (keyHash: KeyHash, rest: Configuration) => void;
+  readonly withdraw: (keyHash: KeyHash, newConfiguration: Configuration) => void;
 } {
   const listeners: ConfigurationListener[] = [];
   const follower = {
@@ -28,11 +28,11 @@
       return { stop: () => undefined };
     },
   };
-  const withdraw = (keyHash: KeyHash, rest: Configuration): void => {
-    follower.current = rest;
+  const withdraw = (keyHash: KeyHash, newConfiguration: Configuration): void => {
+    follower.current = newConfiguration;
     const difference = { previousVersion: undefined, withdrawnKeys: [keyHash] };
     listeners.forEach(listener => {
-      listener(rest, difference);
+      listener(newConfiguration, difference);
     });
   };
   return { watch: new KeyWatch({ follower, maximumListeners }), withdraw };
--- a/packages/instance/tests/configuration/rulesInForce.test.ts
+++ b/packages/instance/tests/configuration/rulesInForce.test.ts
@@ -106,9 +106,9 @@
   it('returns the changes that a peer lacks, or a snapshot when they are not kept', () => {
     const rules = setUp();
     applyChanges(rules, change(2, ['service t # a: b']), change(3, ['service u # a: b']));
-    expect(rules.updateAfter(2, 3).changes.map(({ version }) => version)).toEqual([3]);
-    expect(rules.updateAfter(3, 3)).toEqual({ changes: [], newest: 3, snapshot: undefined });
+    expect(rules.getUpdateAfter(2, 3).changes.map(({ version }) => version)).toEqual([3]);
+    expect(rules.getUpdateAfter(3, 3)).toEqual({ changes: [], newest: 3, snapshot: undefined });
     rules.applyUpdate({ changes: [], newest: 9, snapshot: { lines: [workspace], version: 9 } });
-    expect(rules.updateAfter(3, 9).snapshot).toEqual({ lines: [workspace], version: 9 });
+    expect(rules.getUpdateAfter(3, 9).snapshot).toEqual({ lines: [workspace], version: 9 });
   });
 });
