--- a/packages/coordination/tests/leases/pausableNode.ts
+++ b/packages/coordination/tests/leases/pausableNode.ts
@@ -54,7 +54,7 @@
   public readonly objects: ObjectStore;
   public isKilled = false;
   /** Delay of the responses of the platform, in milliseconds. */
-  public answerDelayMilliseconds = 0;
+  public responseDelayMilliseconds = 0;
   /** Scripted outcome of the next `count` writes of rows whose key has the prefix. */
   public nextWriteOutcome:
     { readonly prefix: string; readonly outcome: ScriptedOutcome; count: number } | undefined;
@@ -160,8 +160,8 @@
   private async forward<Value>(operation: () => Promise<Value>): Promise<Value> {
     await this.waitAtInterruptionPoint();
     const value = await operation();
-    if (this.answerDelayMilliseconds > 0) {
-      await sleep(this.timers, this.answerDelayMilliseconds);
+    if (this.responseDelayMilliseconds > 0) {
+      await sleep(this.timers, this.responseDelayMilliseconds);
     }
     await this.waitAtInterruptionPoint();
     return value;
--- a/packages/coordination/tests/leases/shardLeases.test.ts
+++ b/packages/coordination/tests/leases/shardLeases.test.ts
@@ -84,7 +84,7 @@
   for (const each of cluster.nodes) {
     each.tableFaults.set({ errors: 0, latencyMilliseconds: 0, lostAnswers: 0, outage: 'none' });
     each.recoveryMilliseconds = 0;
-    each.answerDelayMilliseconds = 0;
+    each.responseDelayMilliseconds = 0;
     each.nextWriteOutcome = undefined;
     each.resume();
   }
@@ -137,7 +137,7 @@
     case 'slow':
       target.recoveryMilliseconds = step.milliseconds;
       target.tableFaults.set({ latencyMilliseconds: step.milliseconds });
-      target.answerDelayMilliseconds = step.milliseconds;
+      target.responseDelayMilliseconds = step.milliseconds;
       return;
     case 'step-clock':
       target.timers.stepWallClock(step.milliseconds);
@@ -253,7 +253,7 @@
     const cluster = await createSettledPair();
     const [first, second] = cluster.nodes;
     second!.eligible = new Set([second!.name]);
-    first!.answerDelayMilliseconds = 4_800;
+    first!.responseDelayMilliseconds = 4_800;
     await cluster.advance(1_000);
     first!.tableFaults.set({ outage: 'refuse' });
     await cluster.advance(4 * terms.termMilliseconds);
--- a/packages/gateway/src/upstreams/crashRecord.ts
+++ b/packages/gateway/src/upstreams/crashRecord.ts
@@ -62,8 +62,8 @@
 export class CrashRecord {
   private readonly quarantine = new Quarantine({
     durationMilliseconds: REFUSAL_MILLISECONDS,
-    maxBodies: MAXIMUM_TRACKED_BODIES,
-    maxCrashes: MAXIMUM_CRASHES,
+    maximumBodies: MAXIMUM_TRACKED_BODIES,
+    maximumCrashes: MAXIMUM_CRASHES,
   });
   private readonly follower: TableFollower;
 
--- a/packages/instance/src/configuration/configurationFollower.ts
+++ b/packages/instance/src/configuration/configurationFollower.ts
@@ -114,7 +114,7 @@
   }
 
   /** Returns the update that brings a reader of a version up to the one in force here. */
-  public updateAfter(after: number): Update {
+  public getUpdateAfter(after: number): Update {
     return this.rules.getUpdateAfter(after, this.newestVersion);
   }
 
--- a/packages/instance/src/operators/instanceStatus.ts
+++ b/packages/instance/src/operators/instanceStatus.ts
@@ -83,7 +83,7 @@
   }
 
   public readConfigurationUpdate(version: number): Update {
-    return this.options.configuration.updateAfter(version);
+    return this.options.configuration.getUpdateAfter(version);
   }
 
   private describeUpstreams(): readonly UpstreamReport[] {
--- a/packages/instance/src/upstreams/serviceQueues.ts
+++ b/packages/instance/src/upstreams/serviceQueues.ts
@@ -188,7 +188,7 @@
       chooser: new CostReplicaChooser({
         batchDelayMillisecondsPerToken: settings.batchDelayMillisecondsPerToken,
         callMilliseconds: settings.callMilliseconds,
-        maxPrefixes: settings.maximumPrefixes,
+        maximumPrefixes: settings.maximumPrefixes,
         prefillMillisecondsPerToken: settings.prefillMillisecondsPerToken,
         random: Math.random,
         sharingMilliseconds: settings.sharingMilliseconds,
@@ -197,8 +197,8 @@
         zoneMilliseconds: settings.zoneMilliseconds,
       }),
       queue: new FairWorkQueue<QueuedWork>({
-        maxItems: settings.maximumWaiting,
-        maxItemsPerWorkspace: settings.maximumWaitingPerWorkspace,
+        maximumItems: settings.maximumWaiting,
+        maximumItemsPerWorkspace: settings.maximumWaitingPerWorkspace,
         weightOf: workspace => this.weightOf(workspace),
       }),
       suspicionMilliseconds: settings.suspicionMilliseconds,
@@ -230,7 +230,7 @@
     const { instanceCount, settings } = this.options;
     const options = {
       instances: instanceCount(),
-      maxSaved: MAXIMUM_SAVED_RETRIES,
+      maximumSaved: MAXIMUM_SAVED_RETRIES,
       reservePerSecond: settings.retryReservePerSecond,
       share: settings.retryShare,
     };
@@ -242,7 +242,7 @@
     return {
       callMilliseconds: settings.callMilliseconds,
       instances: instanceCount(),
-      maxCalls: this.ruleOf(service)?.concurrency ?? DEFAULT_CONCURRENCY,
+      maximumCalls: this.ruleOf(service)?.concurrency ?? DEFAULT_CONCURRENCY,
       targetWaiting: settings.targetWaiting,
     };
   }
--- a/packages/instance/tests/configuration/fleetModel.ts
+++ b/packages/instance/tests/configuration/fleetModel.ts
@@ -97,7 +97,7 @@
         const peer = this.fleet.instances.find(each => each.id === id);
         const isReachable = peer !== undefined && this.canReadFromPeers && this.canReach(peer);
         return await Promise.resolve(
-          isReachable ? Ok(peer.follower.updateAfter(after)) : Err({ message: 'not reached' }),
+          isReachable ? Ok(peer.follower.getUpdateAfter(after)) : Err({ message: 'not reached' }),
         );
       },
     };
--- a/packages/instance/tests/programs/interruptedHome.test.ts
+++ b/packages/instance/tests/programs/interruptedHome.test.ts
@@ -44,7 +44,7 @@
         await cluster.advance(200);
       }
       firstHome.dispatcher.latencyMilliseconds = 100;
-      firstHome.answerDelayMilliseconds = testCase.responseDelayMilliseconds;
+      firstHome.responseDelayMilliseconds = testCase.responseDelayMilliseconds;
       callers.call(PROGRAM, firstHome, {
         turnOffset: 1,
         isSubAgentCall: false,
--- a/packages/instance/tests/programs/programCluster.ts
+++ b/packages/instance/tests/programs/programCluster.ts
@@ -245,7 +245,7 @@
       } as const;
       node.tableFaults.set(noFaults);
       node.objectFaults.set(noFaults);
-      node.answerDelayMilliseconds = 0;
+      node.responseDelayMilliseconds = 0;
       node.nextWriteOutcome = undefined;
       node.interruption = undefined;
       node.dispatcher.behaviour = 'answer';
--- a/packages/instance/tests/programs/programFaults.test.ts
+++ b/packages/instance/tests/programs/programFaults.test.ts
@@ -150,7 +150,7 @@
       target.eligible = new Set([target.name]);
       return;
     case 'slow':
-      target.answerDelayMilliseconds = 700;
+      target.responseDelayMilliseconds = 700;
       return;
     case 'upstream-break':
       target.dispatcher.behaviour = 'break';
--- a/packages/scheduling/src/queue/fairWorkQueue.ts
+++ b/packages/scheduling/src/queue/fairWorkQueue.ts
@@ -11,9 +11,9 @@
 /** Options of a {@link FairWorkQueue}: limits, weights and order. */
 export interface FairWorkQueueOptions {
   /** Maximum number of waiting items. */
-  readonly maxItems: number;
+  readonly maximumItems: number;
   /** Maximum number of waiting items of one workspace. */
-  readonly maxItemsPerWorkspace: number;
+  readonly maximumItemsPerWorkspace: number;
   /** Returns the relative share of a workspace when workspaces compete; above 0. */
   readonly weightOf: (workspace: WorkspaceName) => number;
   /** Order within a workspace; least attained service by default. */
@@ -112,11 +112,11 @@
     if (this.entries.has(item.id)) {
       return 'duplicate';
     }
-    if (this.entries.size >= this.options.maxItems) {
+    if (this.entries.size >= this.options.maximumItems) {
       return 'queue-full';
     }
     const flow = this.getOrCreateFlow(item.workspace);
-    if (flow.waiting.size >= this.options.maxItemsPerWorkspace) {
+    if (flow.waiting.size >= this.options.maximumItemsPerWorkspace) {
       return 'workspace-full';
     }
     const key = this.order.keyOf(item, now);
--- a/packages/scheduling/src/queue/programOrder.ts
+++ b/packages/scheduling/src/queue/programOrder.ts
@@ -18,21 +18,21 @@
   /** Age that offsets one token of attained service, in milliseconds. */
   readonly millisecondsPerToken: number;
   /** Maximum delay of a program through attained service, in milliseconds. */
-  readonly maxDelayMilliseconds: number;
+  readonly maximumDelayMilliseconds: number;
   /** Time before its deadline at which an item counts as due, in milliseconds. */
   readonly deadlineSlackMilliseconds: number;
   /**
    * Maximum number of programs whose start time is kept; the one that started first is dropped
    * first.
    */
-  readonly maxPrograms: number;
+  readonly maximumPrograms: number;
 }
 
 /** Default options, for programs that run for minutes. */
 export const defaultAttainedServiceOptions: AttainedServiceOptions = {
   deadlineSlackMilliseconds: 2_000,
-  maxDelayMilliseconds: 120_000,
-  maxPrograms: 65_536,
+  maximumDelayMilliseconds: 120_000,
+  maximumPrograms: 65_536,
   millisecondsPerToken: 6,
 };
 
@@ -61,8 +61,9 @@
   }
 
   public keyOf(item: QueueItem, now: number): number {
-    const { deadlineSlackMilliseconds, maxDelayMilliseconds, millisecondsPerToken } = this.options;
-    const delay = Math.min(maxDelayMilliseconds, item.attainedTokens * millisecondsPerToken);
+    const { deadlineSlackMilliseconds, maximumDelayMilliseconds, millisecondsPerToken } =
+      this.options;
+    const delay = Math.min(maximumDelayMilliseconds, item.attainedTokens * millisecondsPerToken);
     const dueAt = (item.deadline ?? Infinity) - deadlineSlackMilliseconds;
     return Math.min(this.getOrRecordStart(item.program, now) + delay, dueAt);
   }
@@ -76,7 +77,7 @@
       return startedAt;
     }
     this.startTimes.set(program, now);
-    trimOldest(this.startTimes, this.options.maxPrograms);
+    trimOldest(this.startTimes, this.options.maximumPrograms);
     return now;
   }
 }
--- a/packages/scheduling/src/replicas/costReplicaChooser.ts
+++ b/packages/scheduling/src/replicas/costReplicaChooser.ts
@@ -36,7 +36,7 @@
    */
   readonly sharingMilliseconds: number;
   /** Maximum number of prefixes in the index. */
-  readonly maxPrefixes: number;
+  readonly maximumPrefixes: number;
   /**
    * Returns random numbers from 0 (inclusive) to 1 (exclusive); samples candidates and breaks ties
    * between replicas of nearly equal cost.
@@ -83,7 +83,7 @@
   private nextIncarnation = 0;
 
   public constructor(private readonly options: CostReplicaChooserOptions) {
-    this.prefixIndex = new PrefixIndex(options.maxPrefixes);
+    this.prefixIndex = new PrefixIndex(options.maximumPrefixes);
   }
 
   /** Number of prefixes in the index. */
--- a/packages/scheduling/src/retries/quarantine.ts
+++ b/packages/scheduling/src/retries/quarantine.ts
@@ -24,18 +24,18 @@
 /** Limits of a {@link Quarantine}. */
 export interface QuarantineOptions {
   /** Number of crashes at which a body is refused. */
-  readonly maxCrashes: number;
+  readonly maximumCrashes: number;
   /** Time for which a body is refused and a crash counts, in milliseconds. */
   readonly durationMilliseconds: number;
   /** Maximum number of bodies kept. */
-  readonly maxBodies: number;
+  readonly maximumBodies: number;
 }
 
 /** Default options: refuse a body for ten minutes after two crashes of upstreams. */
 export const defaultQuarantineOptions: QuarantineOptions = {
   durationMilliseconds: 600_000,
-  maxBodies: 10_000,
-  maxCrashes: 2,
+  maximumBodies: 10_000,
+  maximumCrashes: 2,
 };
 
 interface RecordedCrash {
@@ -77,7 +77,7 @@
       return;
     }
     const suspect = this.bodies.get(body) ?? { crashes: new Map<CrashId, RecordedCrash>() };
-    if (suspect.crashes.has(crashId) || suspect.crashes.size >= this.options.maxCrashes) {
+    if (suspect.crashes.has(crashId) || suspect.crashes.size >= this.options.maximumCrashes) {
       return;
     }
     suspect.crashes.set(crashId, { crashedAt, upstream });
@@ -97,7 +97,7 @@
 
   /** Returns the time until which a body is refused; `undefined` if it may run. */
   public refusedUntil(body: BodyDigest, now: number): number | undefined {
-    if (this.countCrashes(body, now) < this.options.maxCrashes) {
+    if (this.countCrashes(body, now) < this.options.maximumCrashes) {
       return undefined;
     }
     return this.lastCrashAt(this.bodies.get(body)) + this.options.durationMilliseconds;
@@ -119,7 +119,7 @@
 
   private trimBodies(now: number): void {
     for (const [body, suspect] of this.bodies) {
-      if (this.bodies.size <= this.options.maxBodies && !this.hasExpired(suspect, now)) {
+      if (this.bodies.size <= this.options.maximumBodies && !this.hasExpired(suspect, now)) {
         return;
       }
       this.bodies.delete(body);
--- a/packages/scheduling/src/retries/retryBudget.ts
+++ b/packages/scheduling/src/retries/retryBudget.ts
@@ -10,7 +10,7 @@
   /** Number of instances that share the reserve. */
   readonly instances: number;
   /** Maximum number of unused retries that the budget keeps. */
-  readonly maxSaved: number;
+  readonly maximumSaved: number;
 }
 
 const MILLISECONDS_PER_SECOND = 1_000;
@@ -46,7 +46,7 @@
 
   /** Records a first attempt. */
   public recordFirstAttempt(): void {
-    this.saved = Math.min(this.options.maxSaved, this.saved + this.options.share);
+    this.saved = Math.min(this.options.maximumSaved, this.saved + this.options.share);
   }
 
   /** Acquires one retry from the budget; returns whether one was available. */
@@ -62,10 +62,10 @@
   private refill(now: number): void {
     const elapsedMilliseconds = Math.max(0, now - (this.lastRefillAt ?? now));
     this.lastRefillAt = now;
-    const { instances, maxSaved, reservePerSecond } = this.options;
+    const { instances, maximumSaved, reservePerSecond } = this.options;
     const instanceReservePerSecond = reservePerSecond / Math.max(1, instances);
     this.saved = Math.min(
-      maxSaved,
+      maximumSaved,
       this.saved + (elapsedMilliseconds / MILLISECONDS_PER_SECOND) * instanceReservePerSecond,
     );
   }
--- a/packages/scheduling/src/windows/concurrencyWindow.ts
+++ b/packages/scheduling/src/windows/concurrencyWindow.ts
@@ -4,7 +4,7 @@
    * Maximum number of calls in flight at the replica over all instances, from the rule of the
    * service.
    */
-  readonly maxCalls: number;
+  readonly maximumCalls: number;
   /** Number of instances that share the replica. */
   readonly instances: number;
   /** Number of calls waiting at the replica above which the window shrinks. */
@@ -51,7 +51,7 @@
 
   public constructor(private options: ConcurrencyWindowOptions) {
     this.callMilliseconds = options.callMilliseconds;
-    this.window = this.clamp(options.maxCalls / Math.max(1, options.instances));
+    this.window = this.clamp(options.maximumCalls / Math.max(1, options.instances));
   }
 
   /** Average number of calls that may be in flight; it may be below one. */
@@ -160,6 +160,6 @@
   }
 
   private clamp(window: number): number {
-    return Math.min(this.options.maxCalls, Math.max(MINIMUM_WINDOW, window));
+    return Math.min(this.options.maximumCalls, Math.max(MINIMUM_WINDOW, window));
   }
 }
--- a/packages/scheduling/tests/chooserDifferential.test.ts
+++ b/packages/scheduling/tests/chooserDifferential.test.ts
@@ -12,7 +12,7 @@
 const options = {
   batchDelayMillisecondsPerToken: 0.05,
   callMilliseconds: 1_000,
-  maxPrefixes: 1_000,
+  maximumPrefixes: 1_000,
   prefillMillisecondsPerToken: 0.2,
   random: () => 0.5,
   sharingMilliseconds: 30,
--- a/packages/scheduling/tests/costReplicaChooser.test.ts
+++ b/packages/scheduling/tests/costReplicaChooser.test.ts
@@ -9,11 +9,11 @@
 const chain = (...tokens: readonly number[]): readonly PromptPrefix[] =>
   tokens.map(count => ({ digest: `prefix-${count}` as PrefixDigest, tokens: count }));
 
-function createChooser(count: number, maxPrefixes = 100) {
+function createChooser(count: number, maximumPrefixes = 100) {
   const chooser = new CostReplicaChooser({
     batchDelayMillisecondsPerToken: 0.01,
     callMilliseconds: 4_000,
-    maxPrefixes,
+    maximumPrefixes,
     prefillMillisecondsPerToken: 0.1,
     random: () => 0.99,
     sharingMilliseconds: 10,
--- a/packages/scheduling/tests/fairWorkQueue.test.ts
+++ b/packages/scheduling/tests/fairWorkQueue.test.ts
@@ -9,10 +9,14 @@
 
 import { canRunAll, createQueueItem } from './queueItems.js';
 
-function createQueue(weights: readonly number[] = [1, 1, 1], maxItems = 1_000, perWorkspace = 500) {
+function createQueue(
+  weights: readonly number[] = [1, 1, 1],
+  maximumItems = 1_000,
+  perWorkspace = 500,
+) {
   return new FairWorkQueue({
-    maxItems,
-    maxItemsPerWorkspace: perWorkspace,
+    maximumItems,
+    maximumItemsPerWorkspace: perWorkspace,
     weightOf: workspace => weights[Number(workspace.split('-')[1])] ?? 1,
   });
 }
@@ -76,7 +80,10 @@
   });
 
   test('age counts from the first call of the program, in bounded memory', () => {
-    const order = new AttainedServiceOrder({ ...defaultAttainedServiceOptions, maxPrograms: 2 });
+    const order = new AttainedServiceOrder({
+      ...defaultAttainedServiceOptions,
+      maximumPrograms: 2,
+    });
     const first = createQueueItem(1, 0);
     expect(order.keyOf(first, 0)).toBe(0);
     expect(order.keyOf({ ...first, attainedTokens: 10 }, 50_000)).toBe(60);
--- a/packages/scheduling/tests/queueDifferential.test.ts
+++ b/packages/scheduling/tests/queueDifferential.test.ts
@@ -102,8 +102,8 @@
     fc.assert(
       fc.property(fc.array(operationArbitrary, { maxLength: 120, minLength: 20 }), operations => {
         const queue = new FairWorkQueue({
-          maxItems: 1_000,
-          maxItemsPerWorkspace: 1_000,
+          maximumItems: 1_000,
+          maximumItemsPerWorkspace: 1_000,
           maximumLeadTokens: MAXIMUM_LEAD_TOKENS,
           weightOf,
         });
@@ -171,8 +171,8 @@
     fc.assert(
       fc.property(tokens, sizes => {
         const queue = new FairWorkQueue({
-          maxItems: 10_000,
-          maxItemsPerWorkspace: 10_000,
+          maximumItems: 10_000,
+          maximumItemsPerWorkspace: 10_000,
           weightOf,
         });
         const served = weights.map(() => 0);
@@ -199,11 +199,11 @@
 
   test('no item starves while programs with less attained service keep arriving, and memory stays bounded', () => {
     const queue = new FairWorkQueue({
-      maxItems: 50,
-      maxItemsPerWorkspace: 50,
+      maximumItems: 50,
+      maximumItemsPerWorkspace: 50,
       order: new AttainedServiceOrder({
         ...defaultAttainedServiceOptions,
-        maxDelayMilliseconds: 20_000,
+        maximumDelayMilliseconds: 20_000,
       }),
       weightOf,
     });
--- a/packages/scheduling/tests/serviceScheduler.test.ts
+++ b/packages/scheduling/tests/serviceScheduler.test.ts
@@ -14,23 +14,30 @@
 const zone = 'nelson' as AvailabilityZone;
 const replicaId = (index: number): UpstreamId => `replica-${index}` as UpstreamId;
 
-function createScheduler(replicas: number, maxCalls = 1): WindowedServiceScheduler<ScheduledItem> {
+function createScheduler(
+  replicas: number,
+  maximumCalls = 1,
+): WindowedServiceScheduler<ScheduledItem> {
   const scheduler = new WindowedServiceScheduler<ScheduledItem>({
     belowShareOverflow: 1,
     chooser: new CostReplicaChooser({
       batchDelayMillisecondsPerToken: 0,
       callMilliseconds: 1_000,
-      maxPrefixes: 100,
+      maximumPrefixes: 100,
       prefillMillisecondsPerToken: 0.1,
       random: () => 0,
       sharingMilliseconds: 30,
-      slotsPerReplica: maxCalls,
+      slotsPerReplica: maximumCalls,
       zone,
       zoneMilliseconds: 0,
     }),
-    queue: new FairWorkQueue({ maxItems: 100, maxItemsPerWorkspace: 100, weightOf: () => 1 }),
+    queue: new FairWorkQueue({
+      maximumItems: 100,
+      maximumItemsPerWorkspace: 100,
+      weightOf: () => 1,
+    }),
     suspicionMilliseconds: 2_000,
-    window: { callMilliseconds: 1_000, instances: 1, maxCalls, targetWaiting: 1 },
+    window: { callMilliseconds: 1_000, instances: 1, maximumCalls, targetWaiting: 1 },
   });
   scheduler.update(
     Array.from({ length: replicas }, (_, index) => ({ id: replicaId(index), zone })),
--- a/packages/scheduling/tests/windowsAndRetries.test.ts
+++ b/packages/scheduling/tests/windowsAndRetries.test.ts
@@ -10,7 +10,7 @@
 } from '@zincring/scheduling';
 import { describe, expect, test } from 'vitest';
 
-const windowOptions = { callMilliseconds: 1_000, instances: 13, maxCalls: 8, targetWaiting: 1 };
+const windowOptions = { callMilliseconds: 1_000, instances: 13, maximumCalls: 8, targetWaiting: 1 };
 
 describe('ConcurrencyWindow', () => {
   test('a window below one sends at a reduced rate and never starves', () => {
@@ -93,7 +93,7 @@
   test('retries stay within the share of first attempts plus the reserve', () => {
     const budget = new RetryBudget({
       instances: 13,
-      maxSaved: 100,
+      maximumSaved: 100,
       reservePerSecond: 13,
       share: 0.1,
     });
@@ -132,7 +132,7 @@
   });
 
   test('crashes older than the duration do not count, and memory is bounded', () => {
-    const quarantine = new Quarantine({ ...defaultQuarantineOptions, maxBodies: 5 });
+    const quarantine = new Quarantine({ ...defaultQuarantineOptions, maximumBodies: 5 });
     quarantine.recordCrash(createCrash('a', 600_000), 600_000);
     expect(quarantine.size).toBe(0);
     for (let index = 0; index < 100; index++) {
--- a/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
@@ -63,7 +63,7 @@
   const chooser = new CostReplicaChooser({
     batchDelayMillisecondsPerToken: 0.06,
     callMilliseconds: 4_000,
-    maxPrefixes: programCount * PREFIXES_PER_PROGRAM,
+    maximumPrefixes: programCount * PREFIXES_PER_PROGRAM,
     prefillMillisecondsPerToken: 0.17,
     random: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647,
     sharingMilliseconds: 50,
--- a/packages/stand-ins/src/benchmarks/queueBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/queueBenchmark.ts
@@ -41,8 +41,8 @@
   );
   const heapBefore = measureHeapBytes();
   const queue = new FairWorkQueue({
-    maxItems: programCount + OPERATION_COUNT,
-    maxItemsPerWorkspace: programCount + OPERATION_COUNT,
+    maximumItems: programCount + OPERATION_COUNT,
+    maximumItemsPerWorkspace: programCount + OPERATION_COUNT,
     weightOf: () => 1,
   });
   for (const [index, item] of items.entries()) {
--- a/packages/stand-ins/src/benchmarks/retryBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/retryBenchmark.ts
@@ -20,7 +20,7 @@
 
 function measureQuarantine(size: number): BenchmarkResult {
   const heapBefore = measureHeapBytes();
-  const quarantine = new Quarantine({ ...defaultQuarantineOptions, maxBodies: size });
+  const quarantine = new Quarantine({ ...defaultQuarantineOptions, maximumBodies: size });
   for (let index = 0; index < size; index++) {
     quarantine.recordCrash(
       {
@@ -46,7 +46,7 @@
 function measureRetryBudget(size: number): BenchmarkResult {
   const retryBudget = new RetryBudget({
     instances: size,
-    maxSaved: 50,
+    maximumSaved: 50,
     reservePerSecond: 10,
     share: 0.1,
   });
--- a/packages/stand-ins/src/benchmarks/schedulerBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/schedulerBenchmark.ts
@@ -46,7 +46,7 @@
     chooser: new CostReplicaChooser({
       batchDelayMillisecondsPerToken: 0.06,
       callMilliseconds: 4_000,
-      maxPrefixes: 10_000,
+      maximumPrefixes: 10_000,
       prefillMillisecondsPerToken: 0.17,
       random: () => (seed = (seed * 16_807) % 2_147_483_647) / 2_147_483_647,
       sharingMilliseconds: 50,
@@ -55,12 +55,12 @@
       zoneMilliseconds: 2,
     }),
     queue: new FairWorkQueue({
-      maxItems: OPERATION_COUNT,
-      maxItemsPerWorkspace: OPERATION_COUNT,
+      maximumItems: OPERATION_COUNT,
+      maximumItemsPerWorkspace: OPERATION_COUNT,
       weightOf: () => 1,
     }),
     suspicionMilliseconds: 2_000,
-    window: { callMilliseconds: 4_000, instances: 1, maxCalls: 16, targetWaiting: 2 },
+    window: { callMilliseconds: 4_000, instances: 1, maximumCalls: 16, targetWaiting: 2 },
   });
   scheduler.update(
     Array.from({ length: replicaCount }, (_, index) => ({
--- a/packages/stand-ins/src/experiments/policy/alternatives/orders.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/orders.ts
@@ -40,8 +40,8 @@
 export class OldestProgramOrder implements ProgramOrder {
   private readonly order = new AttainedServiceOrder({
     deadlineSlackMilliseconds: 0,
-    maxDelayMilliseconds: 0,
-    maxPrograms: MAX_PROGRAMS,
+    maximumDelayMilliseconds: 0,
+    maximumPrograms: MAX_PROGRAMS,
     millisecondsPerToken: 0,
   });
 
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
@@ -158,14 +158,14 @@
         window: {
           callMilliseconds: CALL_MILLISECONDS,
           instances: deployment.instances,
-          maxCalls: slotsPerReplica,
+          maximumCalls: slotsPerReplica,
           targetWaiting: TARGET_WAITING_CALLS,
         },
         zone,
       });
     const retryBudget = new RetryBudget({
       instances: deployment.instances,
-      maxSaved: MAXIMUM_SAVED_RETRIES,
+      maximumSaved: MAXIMUM_SAVED_RETRIES,
       reservePerSecond: RETRY_RESERVE_PER_SECOND,
       share: RETRY_SHARE,
     });
--- a/packages/stand-ins/src/experiments/policy/policies.ts
+++ b/packages/stand-ins/src/experiments/policy/policies.ts
@@ -150,8 +150,8 @@
 
 function createFairQueue(order: ProgramOrder): WorkQueue<SimulatedCall> {
   return new FairWorkQueue({
-    maxItems: MAX_ITEMS,
-    maxItemsPerWorkspace: MAX_ITEMS_PER_WORKSPACE,
+    maximumItems: MAX_ITEMS,
+    maximumItemsPerWorkspace: MAX_ITEMS_PER_WORKSPACE,
     order,
     weightOf: () => 1,
   });
@@ -161,7 +161,7 @@
   return new CostReplicaChooser({
     batchDelayMillisecondsPerToken: BATCH_DELAY_MILLISECONDS_PER_TOKEN,
     callMilliseconds: CALL_MILLISECONDS,
-    maxPrefixes: MAX_PREFIXES,
+    maximumPrefixes: MAX_PREFIXES,
     prefillMillisecondsPerToken: PREFILL_MILLISECONDS_PER_TOKEN,
     random: () => random.uniform(),
     sharingMilliseconds: SHARING_MILLISECONDS,
