--- a/packages/stand-ins/src/engine/engineModel.ts
+++ b/packages/stand-ins/src/engine/engineModel.ts
@@ -2,54 +2,54 @@
 
 import { countTokens, PrefixCache } from './prefixCache.js';
 
-/** Size and speed of an engine. */
+/** Capacity and speed of an {@link EngineModel}. */
 export interface EngineOptions {
-  /** Requests that are decoded together. */
+  /** Maximum number of requests in the batch. */
   readonly slots: number;
-  /** Prompt tokens that one step computes, over all requests in the batch. */
+  /** Prompt tokens that one step computes for all requests in the batch together. */
   readonly prefillTokensPerStep: number;
-  /** Capacity of the prefix cache in tokens. */
+  /** Capacity of the prefix cache, in tokens. */
   readonly cacheTokens: number;
 }
 
-/** A request to generate text. */
+/** Request to generate text. */
 export interface GenerateRequest {
   readonly requestId: string;
   readonly program: string;
-  /** The prompt: the turns of the history, oldest first, and the new input. */
+  /** The prompt: the turns of the history, oldest first, followed by the new input. */
   readonly segments: readonly string[];
   readonly maxTokens: number;
-  /** Lower numbers run first. */
+  /** Priority in the queue; lower numbers run first. */
   readonly priority: number;
 }
 
-/** What a finished request used. */
+/** Token counts of a request. */
 export interface GenerateUsage {
   readonly promptTokens: number;
   readonly cachedTokens: number;
   readonly outputTokens: number;
 }
 
-/** A request inside the engine. */
+/** A request inside the engine, with the tokens generated for it. */
 export class Generation {
   public readonly tokens: string[] = [];
   public readonly promptTokens: number;
   public cachedTokens = 0;
-  public prefillLeft = 0;
+  public remainingPrefillTokens = 0;
   public state: 'cancelled' | 'done' | 'running' | 'waiting' = 'waiting';
-  /** Called after every step that changed the request. */
+  /** Called after every step that generates a token of the request, and when it is cancelled. */
   public onProgress: () => void = () => undefined;
   private readonly seed: string;
 
   public constructor(
     public readonly request: GenerateRequest,
-    public readonly arrival: number,
+    public readonly arrivalNumber: number,
   ) {
     this.promptTokens = request.segments.reduce((sum, text) => sum + countTokens(text), 0);
     this.seed = sha256Hex(request.segments.join('\n')).slice(0, 8);
   }
 
-  /** What the request has used so far. */
+  /** Token counts of the request so far. */
   public get usage(): GenerateUsage {
     return {
       cachedTokens: this.cachedTokens,
@@ -58,15 +58,15 @@
     };
   }
 
-  /** Generates the next token; the text depends on the prompt alone. */
+  /** Generates the next token; its text depends only on the prompt and its index. */
   public decode(): void {
     this.tokens.push(`${this.seed}-${this.tokens.length} `);
   }
 }
 
 /**
- * A model engine without network or clock: each step computes part of the prompts and one token
- * of every request in the batch.
+ * A model engine without network or clock. For each request in the batch, a step either computes
+ * part of its prompt or generates one token.
  *
  * @example
  * const engine = new EngineModel({ slots: 4, prefillTokensPerStep: 512, cacheTokens: 100_000 });
@@ -78,35 +78,38 @@
   private readonly waiting: Generation[] = [];
   private readonly running = new Set<Generation>();
   private readonly generations = new Map<string, Generation>();
-  private arrivals = 0;
+  private nextArrivalNumber = 0;
 
   public constructor(private readonly options: EngineOptions) {
     this.cache = new PrefixCache(options.cacheTokens);
   }
 
-  /** Requests in the batch and before it. */
+  /** Number of requests in the batch and in the queue before it. */
   public get load(): { readonly running: number; readonly waiting: number } {
     return { running: this.running.size, waiting: this.waiting.length };
   }
 
-  /** Takes a request; one that is known already is returned as it stands, so a stream can resume. */
+  /**
+   * Enqueues a request; returns the existing one if its identifier is known, so a stream can
+   * resume.
+   */
   public submit(request: GenerateRequest): Generation {
-    const known = this.generations.get(request.requestId);
-    if (known !== undefined) {
-      return known;
+    const existing = this.generations.get(request.requestId);
+    if (existing !== undefined) {
+      return existing;
     }
-    const generation = new Generation(request, this.arrivals++);
+    const generation = new Generation(request, this.nextArrivalNumber++);
     this.generations.set(request.requestId, generation);
     this.waiting.push(generation);
     return generation;
   }
 
-  /** Finds a request that was submitted before. */
+  /** Returns a submitted request, or `undefined` if its identifier is unknown. */
   public find(requestId: string): Generation | undefined {
     return this.generations.get(requestId);
   }
 
-  /** Stops a request and frees its slot. */
+  /** Cancels a request and frees its slot. */
   public cancel(requestId: string): void {
     const generation = this.generations.get(requestId);
     if (generation === undefined || generation.state === 'done') {
@@ -121,7 +124,7 @@
     generation.onProgress();
   }
 
-  /** Drops what the engine holds for a program. */
+  /** Drops the cached prefixes of a program and its requests that are not running. */
   public release(program: string): void {
     this.cache.release(program);
     for (const [requestId, generation] of this.generations) {
@@ -136,9 +139,9 @@
     this.fillBatch();
     let prefillBudget = this.options.prefillTokensPerStep;
     for (const generation of this.running) {
-      if (generation.prefillLeft > 0) {
-        const computed = Math.min(prefillBudget, generation.prefillLeft);
-        generation.prefillLeft -= computed;
+      if (generation.remainingPrefillTokens > 0) {
+        const computed = Math.min(prefillBudget, generation.remainingPrefillTokens);
+        generation.remainingPrefillTokens -= computed;
         prefillBudget -= computed;
         continue;
       }
@@ -151,7 +154,7 @@
   private fillBatch(): void {
     this.waiting.sort(
       (left, right) =>
-        left.request.priority - right.request.priority || left.arrival - right.arrival,
+        left.request.priority - right.request.priority || left.arrivalNumber - right.arrivalNumber,
     );
     while (this.running.size < this.options.slots) {
       const next = this.waiting.shift();
@@ -160,7 +163,7 @@
       }
       next.state = 'running';
       next.cachedTokens = this.cache.match(next.request.segments);
-      next.prefillLeft = next.promptTokens - next.cachedTokens;
+      next.remainingPrefillTokens = next.promptTokens - next.cachedTokens;
       this.running.add(next);
     }
   }
--- a/packages/stand-ins/src/engine/engineServer.ts
+++ b/packages/stand-ins/src/engine/engineServer.ts
@@ -8,29 +8,29 @@
 import { readJson, sendJson } from '../util/jsonServer.js';
 import { EngineModel } from './engineModel.js';
 
-/** How the engine stand-in behaves. */
+/** Options of an {@link EngineServer}. */
 export interface EngineServerOptions extends EngineOptions {
   readonly timers: TimerService;
-  /** Time of one step of the batch, in milliseconds. */
+  /** Duration of one step of the batch, in milliseconds. */
   readonly stepMilliseconds: number;
-  /** How far load reports and cache events lag behind, in milliseconds. */
+  /** Interval at which load reports and cache events are published, in milliseconds. */
   readonly reportLagMilliseconds: number;
-  /** Every how many cache events one is missing; 0 for none. */
+  /** Omits every n-th cache event from the published ones; 0 omits none. */
   readonly cacheEventGap: number;
-  /** Whether orders with an old fencing number are refused. */
+  /** Whether release requests with an old fencing number are refused. */
   readonly checksFencing: boolean;
-  /** Called when a prompt holds {@link CRASH_MARKER}; a process ends itself here. */
+  /** Called when a prompt contains {@link CRASH_MARKER}; a stand-in process exits here. */
   readonly onCrash: () => void;
 }
 
-/** A prompt that holds this text brings the engine down. */
+/** Text that makes the engine crash when a prompt contains it. */
 export const CRASH_MARKER = 'CRASH-THE-ENGINE';
 
-/** How an engine answers orders. */
+/** Faults of the engine that tests can switch on. */
 interface EngineBehaviour {
-  /** How many of the next release orders are lost without effect. */
+  /** Number of next release requests that are lost without effect. */
   readonly lostOrders: number;
-  /** Whether requests hang. */
+  /** Whether requests to generate text are never answered. */
   readonly isHanging: boolean;
 }
 
@@ -40,20 +40,20 @@
   readonly cachedTokens: number;
 }
 
-interface ReleaseOrder {
+interface ReleaseRequest {
   readonly program: string;
   readonly fence: number;
 }
 
-/** A model engine in one process, over HTTP with newline-delimited JSON streams. */
+/** Serves a model engine over HTTP; generated tokens are streamed as newline-delimited JSON. */
 export class EngineServer {
   private readonly engine: EngineModel;
-  private readonly highestFence = new Map<string, number>();
-  private readonly seenPrompts: GenerateRequest[] = [];
-  private readonly seenHeaders: StandInRequest['headers'][] = [];
+  private readonly highestFences = new Map<string, number>();
+  private readonly receivedRequests: GenerateRequest[] = [];
+  private readonly receivedHeaders: StandInRequest['headers'][] = [];
   private behaviour: EngineBehaviour = { isHanging: false, lostOrders: 0 };
-  private visibleLoad: LoadReport = { cachedTokens: 0, running: 0, waiting: 0 };
-  private visibleEvents: readonly CacheEvent[] = [];
+  private publishedLoad: LoadReport = { cachedTokens: 0, running: 0, waiting: 0 };
+  private publishedEvents: readonly CacheEvent[] = [];
 
   public constructor(private readonly options: EngineServerOptions) {
     this.engine = new EngineModel(options);
@@ -65,7 +65,7 @@
     });
   }
 
-  /** Handles the engine's routes and the switches under `/stand-in/`. */
+  /** Handles the engine's routes, and the routes under `/stand-in/` that control the stand-in. */
   public readonly handle: StandInHandler = (request, response) => {
     switch (request.url.pathname) {
       case '/v1/generate':
@@ -74,84 +74,93 @@
         this.engine.cancel(readJson<{ readonly requestId: string }>(request).requestId);
         return sendJson(response, 200, {});
       case '/v1/release':
-        return this.release(readJson<ReleaseOrder>(request), response);
+        return this.release(readJson<ReleaseRequest>(request), response);
       case '/v1/load':
-        return sendJson(response, 200, this.visibleLoad);
+        return sendJson(response, 200, this.publishedLoad);
       case '/v1/cache-events':
         return this.sendCacheEvents(Number(request.url.searchParams.get('after') ?? 0), response);
       case '/v1/held':
         return sendJson(response, 200, {
-          programs: Object.fromEntries(this.engine.cache.heldTokens()),
+          programs: Object.fromEntries(this.engine.cache.tokensByProgram()),
         });
       case '/stand-in/behaviour':
         this.behaviour = { ...this.behaviour, ...readJson<Partial<EngineBehaviour>>(request) };
         return sendJson(response, 200, {});
       case '/stand-in/seen':
-        return sendJson(response, 200, { headers: this.seenHeaders, requests: this.seenPrompts });
+        return sendJson(response, 200, {
+          headers: this.receivedHeaders,
+          requests: this.receivedRequests,
+        });
       default:
         return false;
     }
   };
 
   private generate(request: StandInRequest, response: ServerResponse): boolean {
-    const order = readJson<GenerateRequest>(request);
-    this.seenPrompts.push(order);
-    this.seenHeaders.push(request.headers);
+    const generateRequest = readJson<GenerateRequest>(request);
+    this.receivedRequests.push(generateRequest);
+    this.receivedHeaders.push(request.headers);
     if (this.behaviour.isHanging) {
       return true;
     }
-    if (order.segments.some(segment => segment.includes(CRASH_MARKER))) {
+    if (generateRequest.segments.some(segment => segment.includes(CRASH_MARKER))) {
       this.options.onCrash();
       response.destroy();
       return true;
     }
-    const from = Number(request.url.searchParams.get('from') ?? 0);
+    const firstIndex = Number(request.url.searchParams.get('from') ?? 0);
     response.writeHead(200, { 'content-type': 'application/x-ndjson' });
-    streamGeneration(this.engine.submit(order), from, response);
+    streamGeneration(this.engine.submit(generateRequest), firstIndex, response);
     response.on('close', () => {
       if (!response.writableFinished) {
-        this.engine.cancel(order.requestId);
+        this.engine.cancel(generateRequest.requestId);
       }
     });
     return true;
   }
 
-  private release(order: ReleaseOrder, response: ServerResponse): boolean {
+  private release(releaseRequest: ReleaseRequest, response: ServerResponse): boolean {
     if (this.behaviour.lostOrders > 0) {
       this.behaviour = { ...this.behaviour, lostOrders: this.behaviour.lostOrders - 1 };
       response.destroy();
       return true;
     }
-    const highest = this.highestFence.get(order.program) ?? 0;
-    if (this.options.checksFencing && order.fence < highest) {
+    const highest = this.highestFences.get(releaseRequest.program) ?? 0;
+    if (this.options.checksFencing && releaseRequest.fence < highest) {
       return sendJson(response, 409, { highest });
     }
-    this.highestFence.set(order.program, Math.max(highest, order.fence));
-    this.engine.release(order.program);
+    this.highestFences.set(releaseRequest.program, Math.max(highest, releaseRequest.fence));
+    this.engine.release(releaseRequest.program);
     return sendJson(response, 200, {});
   }
 
   private publishReports(): void {
-    this.visibleLoad = { ...this.engine.load, cachedTokens: this.engine.cache.size };
-    this.visibleEvents = this.engine.cache.eventsAfter(0);
+    this.publishedLoad = { ...this.engine.load, cachedTokens: this.engine.cache.size };
+    this.publishedEvents = this.engine.cache.eventsAfter(0);
   }
 
   private sendCacheEvents(after: number, response: ServerResponse): boolean {
     const gap = this.options.cacheEventGap;
-    const events = this.visibleEvents
+    const events = this.publishedEvents
       .slice(after)
       .filter(event => gap === 0 || event.sequence % gap !== 0);
-    return sendJson(response, 200, { events, next: this.visibleEvents.length });
+    return sendJson(response, 200, { events, next: this.publishedEvents.length });
   }
 }
 
-/** Writes the tokens of a generation from an index on, and its usage at the end. */
-function streamGeneration(generation: Generation, from: number, response: ServerResponse): void {
-  let sent = from;
-  const flush = (): void => {
-    while (sent < generation.tokens.length) {
-      response.write(`${JSON.stringify({ index: sent, text: generation.tokens[sent] })}\n`);
-      sent++;
+/** Streams the tokens of a generation, starting at an index, followed by its usage. */
+function streamGeneration(
+  generation: Generation,
+  firstIndex: number,
+  response: ServerResponse,
+): void {
+  let nextIndex = firstIndex;
+  const writeProgress = (): void => {
+    while (nextIndex < generation.tokens.length) {
+      response.write(
+        `${JSON.stringify({ index: nextIndex, text: generation.tokens[nextIndex] })}\n`,
+      );
+      nextIndex++;
     }
     if (generation.state === 'done') {
       response.end(`${JSON.stringify({ usage: generation.usage })}\n`);
@@ -160,6 +169,6 @@
       response.destroy();
     }
   };
-  generation.onProgress = flush;
-  flush();
+  generation.onProgress = writeProgress;
+  writeProgress();
 }
--- a/packages/stand-ins/src/engine/prefixCache.ts
+++ b/packages/stand-ins/src/engine/prefixCache.ts
@@ -1,22 +1,22 @@
 import { sha256Hex } from '@zincring/core';
 
-/** A change of the prefix cache, as published late and with gaps. */
+/** A change of the prefix cache; the engine server publishes it with a delay and may omit it. */
 export interface CacheEvent {
   readonly sequence: number;
   readonly change: 'evicted' | 'stored';
-  /** Digest of the chain of segments up to and including one segment. */
+  /** Digest of all segments of a prompt up to and including the last one of the prefix. */
   readonly prefix: string;
   readonly tokens: number;
 }
 
 interface CachedPrefix {
   readonly program: string;
-  /** Tokens of the last segment of the prefix alone. */
+  /** Number of tokens in the last segment of the prefix only. */
   readonly tokens: number;
 }
 
 /**
- * Counts the tokens of a text as the stand-ins do: four characters each.
+ * Counts the tokens of a text; the stand-ins count four characters as one token.
  *
  * @example
  * countTokens('0123456789'); // 3
@@ -26,7 +26,7 @@
 }
 
 /**
- * Digests of every prefix of a prompt, shortest first.
+ * Returns the digest of every prefix of a prompt, shortest first.
  *
  * @example
  * prefixDigests(['system', 'first turn']); // two digests
@@ -39,21 +39,24 @@
   });
 }
 
-/** A prefix cache of bounded size that evicts what was used least recently. */
+/** A prefix cache of bounded size with least-recently-used eviction. */
 export class PrefixCache {
-  /** In order of last use: a map keeps the order of insertion. */
+  /**
+   * Least recently used first: a map iterates in insertion order, and a use inserts the entry
+   * again.
+   */
   private readonly prefixes = new Map<string, CachedPrefix>();
   private readonly events: CacheEvent[] = [];
   private usedTokens = 0;
 
   public constructor(private readonly capacityTokens: number) {}
 
-  /** Tokens held. */
+  /** Number of tokens in the cache. */
   public get size(): number {
     return this.usedTokens;
   }
 
-  /** Tokens of the longest cached prefix of a prompt. */
+  /** Returns the number of tokens in the longest cached prefix of a prompt. */
   public match(segments: readonly string[]): number {
     let tokens = 0;
     for (const [index, digest] of prefixDigests(segments).entries()) {
@@ -68,7 +71,7 @@
     return tokens;
   }
 
-  /** Keeps every prefix of a prompt for a program. */
+  /** Stores every prefix of a prompt on behalf of a program. */
   public store(program: string, segments: readonly string[]): void {
     for (const [index, digest] of prefixDigests(segments).entries()) {
       if (this.prefixes.has(digest)) {
@@ -82,7 +85,7 @@
     this.evictToCapacity();
   }
 
-  /** Drops all that is kept for a program. */
+  /** Evicts all prefixes that were stored for a program. */
   public release(program: string): void {
     for (const [digest, cached] of this.prefixes) {
       if (cached.program === program) {
@@ -91,16 +94,16 @@
     }
   }
 
-  /** Tokens held for each program. */
-  public heldTokens(): ReadonlyMap<string, number> {
-    const held = new Map<string, number>();
+  /** Returns the number of cached tokens for each program. */
+  public tokensByProgram(): ReadonlyMap<string, number> {
+    const totals = new Map<string, number>();
     for (const cached of this.prefixes.values()) {
-      held.set(cached.program, (held.get(cached.program) ?? 0) + cached.tokens);
+      totals.set(cached.program, (totals.get(cached.program) ?? 0) + cached.tokens);
     }
-    return held;
+    return totals;
   }
 
-  /** Events after a sequence number. */
+  /** Returns the events after a sequence number. */
   public eventsAfter(sequence: number): readonly CacheEvent[] {
     return this.events.slice(sequence);
   }
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-export type { Faults, OperationFate } from './platform/faultSwitch.js';
+export type { Faults, ScriptedOutcome } from './platform/faultSwitch.js';
 export { FaultSwitch, noFaults } from './platform/faultSwitch.js';
 export {
   MemoryInstanceDirectory,
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -11,17 +11,17 @@
 import { PlainServiceServer } from './service/plainServiceServer.js';
 import { serveStandIn } from './util/jsonServer.js';
 
-/** Exit code of an engine that a request brought down. */
+/** Exit code of an engine that a poison request crashed. */
 const CRASH_EXIT_CODE = 70;
 
 const command = yargs(hideBin(process.argv))
   .scriptName('stand-in')
-  .usage('$0 --role ROLE: one stand-in of the world around zincring, on loopback')
+  .usage('$0 --role ROLE: runs an engine, a service or the platform as a stand-in on loopback')
   .strict()
   .options({
     'cache-event-gap': {
       default: 0,
-      describe: 'engine: every how many events one is missing',
+      describe: 'engine: omit every n-th cache event; 0 omits none',
       type: 'number',
     },
     'cache-tokens': {
@@ -31,19 +31,27 @@
     },
     'checks-fencing': {
       default: true,
-      describe: 'engine: refuse orders with an old fencing number',
+      describe: 'engine: refuse release requests with an old fencing number',
       type: 'boolean',
     },
     'lag-milliseconds': {
       default: 500,
-      describe: 'lag of the instance list or of load reports',
+      describe: 'lag of the instance list, or of load reports and cache events',
+      type: 'number',
+    },
+    port: { default: 0, describe: 'port to listen on; 0 chooses a free port', type: 'number' },
+    'prefill-tokens': {
+      default: 2_000,
+      describe: 'engine: prompt tokens computed per step',
       type: 'number',
     },
-    port: { default: 0, describe: 'port to listen on; 0 takes a free one', type: 'number' },
-    'prefill-tokens': { default: 2_000, describe: 'engine: prompt tokens a step', type: 'number' },
     role: { choices: ['engine', 'plain-service', 'platform'] as const, demandOption: true },
-    slots: { default: 8, describe: 'engine: requests decoded together', type: 'number' },
-    'step-milliseconds': { default: 10, describe: 'engine: time of one step', type: 'number' },
+    slots: {
+      default: 8,
+      describe: 'engine: maximum requests decoded concurrently',
+      type: 'number',
+    },
+    'step-milliseconds': { default: 10, describe: 'engine: duration of one step', type: 'number' },
   });
 
 const settings = await command.parseAsync();
--- a/packages/stand-ins/src/platform/faultSwitch.ts
+++ b/packages/stand-ins/src/platform/faultSwitch.ts
@@ -2,19 +2,19 @@
 
 import { sleep } from '@zincring/core';
 
-/** The faults that a stand-in shows. */
+/** Faults that a platform stand-in injects into its operations. */
 export interface Faults {
   /** Delay before every operation, in milliseconds. */
   readonly latencyMilliseconds: number;
-  /** `refuse` answers that nothing was done; `hang` never answers. */
+  /** With `refuse` every operation fails without effect; with `hang` none is ever answered. */
   readonly outage: 'hang' | 'none' | 'refuse';
-  /** How many of the next writes take effect without an answer. */
+  /** Number of next writes that take effect but whose answer is lost. */
   readonly lostAnswers: number;
-  /** How many of the next operations fail without effect. */
+  /** Number of next operations that fail without effect. */
   readonly errors: number;
 }
 
-/** No faults at all. */
+/** Settings that inject no faults. */
 export const noFaults: Faults = {
   errors: 0,
   latencyMilliseconds: 0,
@@ -22,22 +22,25 @@
   outage: 'none',
 };
 
-/** What becomes of one operation. */
-export type OperationFate = 'answered' | 'answer-lost' | 'hung' | 'refused';
+/**
+ * Outcome of one operation: `answer-lost` takes effect without an answer, `hung` is never answered,
+ * and `refused` fails without effect.
+ */
+export type ScriptedOutcome = 'answered' | 'answer-lost' | 'hung' | 'refused';
 
-/** Decides the fate of operations by the faults that are switched on. */
+/** Holds the faults that are switched on and decides the outcome of each operation by them. */
 export class FaultSwitch {
   private faults: Faults = noFaults;
 
   public constructor(private readonly timers: TimerService) {}
 
-  /** Switches faults; what is not named keeps its state. */
+  /** Changes the given faults; the others keep their values. */
   public set(changes: Partial<Faults>): void {
     this.faults = { ...this.faults, ...changes };
   }
 
-  /** Waits out the latency and tells what becomes of the operation. */
-  public async decide(isWrite: boolean): Promise<OperationFate> {
+  /** Waits for the configured latency, then returns the outcome of the operation. */
+  public async decideOutcome(isWrite: boolean): Promise<ScriptedOutcome> {
     if (this.faults.latencyMilliseconds > 0) {
       await sleep(this.timers, this.faults.latencyMilliseconds);
     }
--- a/packages/stand-ins/src/platform/memoryObjects.ts
+++ b/packages/stand-ins/src/platform/memoryObjects.ts
@@ -1,6 +1,6 @@
 import type { ByteRange, ListRequest, ObjectPage, PutOutcome } from '@zincring/platform';
 
-/** The objects of an object store, without faults. */
+/** Objects of an object store in memory, without fault injection. */
 export class MemoryObjects {
   private readonly objects = new Map<string, Uint8Array>();
 
--- a/packages/stand-ins/src/platform/memoryPlatform.ts
+++ b/packages/stand-ins/src/platform/memoryPlatform.ts
@@ -22,13 +22,13 @@
 import type { MemoryObjects } from './memoryObjects.js';
 import type { MemoryTable } from './memoryTable.js';
 
-/** Runs an operation in memory with the fate that the fault switch decides. */
+/** Runs an in-memory operation with the outcome that the fault switch decides. */
 async function withFaults<Value>(
   faults: FaultSwitch,
   isWrite: boolean,
   operation: () => Value,
 ): Promise<Result<Value, PlatformError>> {
-  switch (await faults.decide(isWrite)) {
+  switch (await faults.decideOutcome(isWrite)) {
     case 'answered':
       return Ok(operation());
     case 'answer-lost':
@@ -41,7 +41,10 @@
   }
 }
 
-/** A table service for focused tests; several views with faults of their own may share one table. */
+/**
+ * A table service for focused tests. Several services, each with its own fault switch, may share
+ * one table.
+ */
 export class MemoryTableService implements TableService {
   public constructor(
     private readonly table: MemoryTable,
@@ -95,7 +98,10 @@
   }
 }
 
-/** A list of instances for focused tests; what it shows is set by hand, so it lags as told. */
+/**
+ * A list of instances for focused tests. Tests set its entries directly, and so decide how far it
+ * lags behind.
+ */
 export class MemoryInstanceDirectory implements InstanceDirectory {
   public entries: readonly DirectoryEntry[] = [];
 
--- a/packages/stand-ins/src/platform/memoryTable.ts
+++ b/packages/stand-ins/src/platform/memoryTable.ts
@@ -6,10 +6,13 @@
   TransactionOutcome,
 } from '@zincring/platform';
 
-/** The rows of a table service, without faults: plain and obviously right. */
+/**
+ * Rows of a table service in memory, without fault injection; simple enough to serve as a
+ * reference.
+ */
 export class MemoryTable {
   private readonly rows = new Map<string, Row>();
-  /** Versions survive deletion, so that a row made anew never repeats one. */
+  /** Shared by all rows, so a row that is deleted and created again never repeats a version. */
   private lastVersion = 0;
 
   /** Number of transactions committed. */
--- a/packages/stand-ins/src/platform/platformServer.ts
+++ b/packages/stand-ins/src/platform/platformServer.ts
@@ -10,14 +10,14 @@
 import { MemoryObjects } from './memoryObjects.js';
 import { MemoryTable } from './memoryTable.js';
 
-/** How the platform stand-in behaves. */
+/** Options of a {@link PlatformServer}. */
 export interface PlatformServerOptions {
   readonly timers: TimerService;
-  /** How long the list of instances lags behind, in milliseconds. */
+  /** Delay until a change of the list of instances becomes visible, in milliseconds. */
   readonly directoryLagMilliseconds: number;
 }
 
-/** The platform in one process: table service, object store and list of instances over HTTP. */
+/** Serves a table service, an object store and a list of instances over HTTP from one process. */
 export class PlatformServer {
   private readonly table = new MemoryTable();
   private readonly objects = new MemoryObjects();
@@ -28,28 +28,28 @@
     this.faults = new FaultSwitch(options.timers);
   }
 
-  /** Handles the platform's routes and the switches under `/stand-in/`. */
+  /** Handles the platform's routes, and the routes under `/stand-in/` that control the stand-in. */
   public readonly handle: StandInHandler = async (request, response) => {
     if (request.url.pathname.startsWith('/stand-in/')) {
-      return this.control(request, response);
+      return this.handleControlRequest(request, response);
     }
     const isWrite = request.method === 'PUT' || request.url.pathname === '/table/transact';
-    const fate = await this.faults.decide(isWrite);
-    switch (fate) {
+    const outcome = await this.faults.decideOutcome(isWrite);
+    switch (outcome) {
       case 'hung':
         return true;
       case 'refused':
         return sendJson(response, 503, { error: 'the stand-in is switched off' });
       case 'answer-lost':
-        this.operate(request);
+        this.executeOperation(request);
         response.destroy();
         return true;
       case 'answered':
-        return reply(response, this.operate(request));
+        return reply(response, this.executeOperation(request));
     }
   };
 
-  private control(request: StandInRequest, response: ServerResponse): boolean {
+  private handleControlRequest(request: StandInRequest, response: ServerResponse): boolean {
     switch (request.url.pathname) {
       case '/stand-in/faults':
         this.faults.set(readJson<Partial<Faults>>(request));
@@ -68,7 +68,7 @@
     }
   }
 
-  private operate(request: StandInRequest): PlatformAnswer | undefined {
+  private executeOperation(request: StandInRequest): PlatformAnswer | undefined {
     switch (request.url.pathname) {
       case '/table/read':
         return json({ rows: this.table.read(readJson<{ keys: readonly string[] }>(request).keys) });
@@ -84,7 +84,7 @@
         return this.listObjects(request.url.searchParams);
       default:
         return request.url.pathname.startsWith('/objects/')
-          ? this.operateOnObject(request)
+          ? this.executeObjectOperation(request)
           : undefined;
     }
   }
@@ -99,7 +99,7 @@
     return json({ names: page.names, next: page.next ?? null });
   }
 
-  private operateOnObject(request: StandInRequest): PlatformAnswer | undefined {
+  private executeObjectOperation(request: StandInRequest): PlatformAnswer | undefined {
     const name = decodeURIComponent(request.url.pathname.slice('/objects/'.length));
     switch (request.method) {
       case 'PUT': {
--- a/packages/stand-ins/src/service/plainServiceServer.ts
+++ b/packages/stand-ins/src/service/plainServiceServer.ts
@@ -6,21 +6,21 @@
 
 import { readJson, sendJson } from '../util/jsonServer.js';
 
-/** How the plain service treats the next requests. */
+/** Behaviour of a {@link PlainServiceServer} towards the next requests. */
 export interface PlainServiceBehaviour {
-  /** Delay before the work takes effect, in milliseconds. */
+  /** Delay before the side effect, in milliseconds. */
   readonly delayBeforeMilliseconds: number;
-  /** Delay between the effect and the answer, in milliseconds. */
+  /** Delay between the side effect and the response, in milliseconds. */
   readonly delayAfterMilliseconds: number;
-  /** How many of the next requests take effect without an answer. */
+  /** Number of next requests that take effect but whose response is lost. */
   readonly lostAnswers: number;
-  /** How many of the next requests fail before the work is done. */
+  /** Number of next requests that fail without effect. */
   readonly errors: number;
-  /** Whether requests hang without effect. */
+  /** Whether requests are neither executed nor answered. */
   readonly isHanging: boolean;
 }
 
-/** One request that took effect. */
+/** A request that took effect. */
 export interface Execution {
   /** The idempotency key of the request. */
   readonly call: string;
@@ -37,14 +37,16 @@
   lostAnswers: 0,
 };
 
-/** A service whose work has side effects; it records every execution, so that tests can count. */
+/** A service whose calls have side effects; records every execution, so tests can count them. */
 export class PlainServiceServer {
   private behaviour = initialBehaviour;
   private readonly executions: Execution[] = [];
 
   public constructor(private readonly timers: TimerService) {}
 
-  /** Handles any path as work, and the switches under `/stand-in/`. */
+  /**
+   * Executes a request to any path, except the routes under `/stand-in/` that control the stand-in.
+   */
   public readonly handle: StandInHandler = async (request, response) => {
     if (request.url.pathname === '/stand-in/behaviour') {
       this.behaviour = { ...this.behaviour, ...readJson<Partial<PlainServiceBehaviour>>(request) };
@@ -61,14 +63,14 @@
       this.behaviour = { ...this.behaviour, errors: this.behaviour.errors - 1 };
       return sendJson(response, 500, { error: 'the work failed' });
     }
-    const number = this.execute(request);
+    const executionNumber = this.execute(request);
     await sleep(this.timers, this.behaviour.delayAfterMilliseconds);
     if (this.behaviour.lostAnswers > 0) {
       this.behaviour = { ...this.behaviour, lostAnswers: this.behaviour.lostAnswers - 1 };
       response.destroy();
       return true;
     }
-    return sendJson(response, 200, { execution: number, path: request.url.pathname });
+    return sendJson(response, 200, { execution: executionNumber, path: request.url.pathname });
   };
 
   private execute(request: StandInRequest): number {
--- a/packages/stand-ins/src/util/jsonServer.ts
+++ b/packages/stand-ins/src/util/jsonServer.ts
@@ -2,7 +2,7 @@
 
 import { createServer } from 'node:http';
 
-/** One request to a stand-in, with its body read. */
+/** An HTTP request to a stand-in, with its complete body. */
 export interface StandInRequest {
   readonly method: string;
   readonly url: URL;
@@ -10,16 +10,16 @@
   readonly body: Buffer;
 }
 
-/** Answers a request; returns whether it knew the route. */
+/** Handles a request; returns whether the route exists. */
 export type StandInHandler = (
   request: StandInRequest,
   response: ServerResponse,
 ) => Promise<boolean> | boolean;
 
 /**
- * Serves a handler on an IP number and port; port 0 takes a free one.
+ * Serves a handler on a port of 127.0.0.1; with port 0 the operating system chooses a free port.
  *
- * @returns the server and the port that it listens on
+ * @returns the server and the port on which it listens
  * @example
  * const { port } = await serveStandIn(handler, 0);
  */
@@ -28,7 +28,7 @@
   port: number,
 ): Promise<{ readonly server: Server; readonly port: number }> {
   const server = createServer((incoming, response) => {
-    answer(handler, incoming, response).catch((failure: unknown) => {
+    handleRequest(handler, incoming, response).catch((failure: unknown) => {
       response.destroy(failure instanceof Error ? failure : undefined);
     });
   });
@@ -37,7 +37,7 @@
   return { port: typeof bound === 'object' && bound !== null ? bound.port : port, server };
 }
 
-async function answer(
+async function handleRequest(
   handler: StandInHandler,
   incoming: IncomingMessage,
   response: ServerResponse,
@@ -58,7 +58,7 @@
 }
 
 /**
- * Sends a JSON answer.
+ * Sends a JSON response.
  *
  * @example
  * sendJson(response, 200, { status: 'ok' });
@@ -70,12 +70,13 @@
 }
 
 /**
- * Parses the body of a request as JSON of an expected type; stand-ins trust their callers.
+ * Parses the body of a request as JSON of the given type without validation, as only tests and
+ * tools of this repository call the stand-ins.
  *
  * @example
- * const order = readJson<ReleaseOrder>(request);
+ * const { program, fence } = readJson<ReleaseRequest>(request);
  */
-// eslint-disable-next-line @typescript-eslint/no-unnecessary-type-parameters -- stand-ins trust their callers
+// eslint-disable-next-line @typescript-eslint/no-unnecessary-type-parameters -- the caller names the type; the body is not validated
 export function readJson<Body>(request: StandInRequest): Body {
   return JSON.parse(request.body.toString('utf8')) as Body;
 }
