--- a/packages/stand-ins/src/demonstration/main.ts
+++ b/packages/stand-ins/src/demonstration/main.ts
@@ -18,7 +18,7 @@
 program trace services=minutes-llm,ticket-app tokens=100000 calls=50 idle=600 # dana: complaint traces
 `;
 
-/** One call as the demonstration makes it. */
+/** A call of the demonstration. */
 interface DemonstrationCall {
   readonly call: string;
   readonly service: 'minutes-llm' | 'ticket-app';
@@ -32,7 +32,7 @@
   process.stdout.write(`${line}\n`);
 }
 
-/** Runs the main job against a fleet and prints what happened. */
+/** Runs agent programs against a fleet, injects a failure, and prints the results. */
 class Demonstration {
   private readonly client = new CallerClient(KEY);
   private nextInstance = 0;
@@ -41,15 +41,17 @@
 
   public async run(): Promise<void> {
     const programs = await this.traceComplaints();
-    const [first] = programs;
-    if (first !== undefined) {
-      await this.killHomeOf(first);
-      await this.orderTwice(first);
+    const [firstProgram] = programs;
+    if (firstProgram !== undefined) {
+      await this.killHomeOf(firstProgram);
+      await this.sendOrderTwice(firstProgram);
     }
     await this.endPrograms(programs);
   }
 
-  /** Programs side by side: two questions, a sub-agent, and the question that depends on it. */
+  /**
+   * Runs programs concurrently: each asks a question, has a sub-agent ask one, then asks a second.
+   */
   private async traceComplaints(): Promise<readonly string[]> {
     const programs = await Promise.all(
       Array.from({ length: PROGRAMS }, async (_, index) => {
@@ -67,11 +69,11 @@
   }
 
   private async killHomeOf(program: string): Promise<void> {
-    const shown = await this.fleet.control('programs', 'show', program, '--json');
-    const { holder } = JSON.parse(shown.output) as { readonly holder: string };
+    const shownProgram = await this.fleet.control('programs', 'show', program, '--json');
+    const { holder } = JSON.parse(shownProgram.output) as { readonly holder: string };
     const home = this.fleet.instances.find(instance => holder.startsWith(instance.id));
     if (home === undefined) {
-      throw new Error(`the home ${holder} is not known`);
+      throw new Error(`no instance of the fleet matches the home ${holder}`);
     }
     await home.process.kill();
     this.fleet.instances.splice(this.fleet.instances.indexOf(home), 1);
@@ -81,7 +83,7 @@
     print(`the home of program 1, ${home.id}, was killed; its next turn took ${seconds} s`);
   }
 
-  private async orderTwice(program: string): Promise<void> {
+  private async sendOrderTwice(program: string): Promise<void> {
     const order: DemonstrationCall = {
       call: 'order',
       input: { street: 'Front Street', work: 'flush the main' },
@@ -91,24 +93,24 @@
     };
     const answers = [await this.send(program, order), await this.send(program, order)];
     const service = this.fleet.upstreams.find(each => each.service === 'ticket-app');
-    const seen = (await controlStandIn(service?.standIn.address ?? '', 'executions')) as {
+    const recorded = (await controlStandIn(service?.standIn.address ?? '', 'executions')) as {
       readonly executions: readonly unknown[];
     };
-    const isSame = answers[0]?.text === answers[1]?.text;
+    const areAnswersEqual = answers[0]?.text === answers[1]?.text;
     print(
-      `a work order sent twice ran ${seen.executions.length} time; the answers are ${isSame ? 'the same' : 'different'}`,
+      `a work order sent twice ran ${recorded.executions.length} time; the answers are ${areAnswersEqual ? 'the same' : 'different'}`,
     );
   }
 
   private async endPrograms(programs: readonly string[]): Promise<void> {
     for (const program of programs) {
-      await this.client.endProgram(this.anyAddress(), program);
+      await this.client.endProgram(this.nextAddress(), program);
     }
-    await waitUntil(async () => (await this.heldPrograms()) === 0);
+    await waitUntil(async () => (await this.countHeldPrograms()) === 0);
     print(`${programs.length} programs ended; the engines hold nothing for them`);
   }
 
-  private async heldPrograms(): Promise<number> {
+  private async countHeldPrograms(): Promise<number> {
     const engines = this.fleet.upstreams.filter(each => each.service === 'minutes-llm');
     const held = await Promise.all(
       engines.map(async ({ standIn }) => {
@@ -121,7 +123,7 @@
   }
 
   private async open(): Promise<string> {
-    return await this.client.openWhenReady(this.anyAddress(), 'trace');
+    return await this.client.openWhenReady(this.nextAddress(), 'trace');
   }
 
   private async ask(
@@ -132,7 +134,7 @@
   }
 
   private async send(program: string, call: DemonstrationCall): Promise<CallAnswer> {
-    const answer = await this.client.call(this.anyAddress(), program, {
+    const answer = await this.client.call(this.nextAddress(), program, {
       ...call,
       ...(call.service === 'minutes-llm' ? { maxTokens: ANSWER_TOKENS } : {}),
     });
@@ -142,8 +144,10 @@
     return answer;
   }
 
-  /** Each call goes through another instance, as a balancer would send it. */
-  private anyAddress(): string {
+  /**
+   * Returns the callers' addresses of the instances in round-robin order, as a load balancer does.
+   */
+  private nextAddress(): string {
     const { instances } = this.fleet;
     return instances[this.nextInstance++ % instances.length]?.callerAddress ?? '';
   }
--- a/packages/stand-ins/src/launch/callerClient.ts
+++ b/packages/stand-ins/src/launch/callerClient.ts
@@ -1,32 +1,32 @@
 import { waitUntil } from './waitUntil.js';
 
-/** The answer to a call, with its stream put together. */
+/** Answer to a call, with the text of its event stream concatenated. */
 export interface CallAnswer {
   readonly status: number;
   readonly text: string;
-  /** The closing event; `undefined` when the stream ended otherwise. */
+  /** Data of the `closed` event; `undefined` if the stream ended without one. */
   readonly closed: Readonly<Record<string, unknown>> | undefined;
-  /** The refusal; `undefined` when there was none. */
+  /** Error of the response or of its stream; `undefined` if there was none. */
   readonly error: Readonly<Record<string, unknown>> | undefined;
 }
 
-/** An answer in JSON. */
+/** Response with a JSON body. */
 export interface JsonAnswer {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** A caller that speaks HTTP to instances. */
+/** HTTP client of the callers' API of the instances. */
 export class CallerClient {
   public constructor(private readonly key: string) {}
 
-  /** Opens a program; with a name, repeating it opens no other. */
+  /** Opens a program; repeating the request with the same name opens no second one. */
   public async openProgram(address: string, policy: string, name?: string): Promise<JsonAnswer> {
     const body = { policy, ...(name === undefined ? {} : { program: name }) };
     return await this.send(address, 'POST', '/v1/programs', body);
   }
 
-  /** Opens a program as soon as an instance can, and gives its identifier. */
+  /** Opens a program, retrying until the instance accepts it; returns its identifier. */
   public async openWhenReady(address: string, policy: string, name?: string): Promise<string> {
     let program = '';
     await waitUntil(async () => {
@@ -47,7 +47,7 @@
     return await this.send(address, 'DELETE', `/v1/programs/${program}`);
   }
 
-  /** Makes a call and reads its whole answer. */
+  /** Makes a call and reads its complete answer. */
   public async call(address: string, program: string, body: unknown): Promise<CallAnswer> {
     const response = await fetch(`http://${address}/v1/programs/${program}/calls`, {
       body: JSON.stringify(body),
--- a/packages/stand-ins/src/launch/childProcess.ts
+++ b/packages/stand-ins/src/launch/childProcess.ts
@@ -3,18 +3,18 @@
 import { spawn } from 'node:child_process';
 import { createInterface } from 'node:readline';
 
-/** A process that the launcher started. */
+/** Handle of a started child process. */
 export class LaunchedProcess {
-  private readonly ended: Promise<number | null>;
+  private readonly exitCode: Promise<number | null>;
 
   public constructor(
     public readonly name: string,
     private readonly child: ChildProcess,
   ) {
-    this.ended = new Promise(resolve => child.once('exit', resolve));
+    this.exitCode = new Promise(resolve => child.once('exit', resolve));
   }
 
-  /** Identifier of the process at the operating system. */
+  /** The operating system's identifier of the process. */
   public get processId(): number {
     return this.child.pid ?? 0;
   }
@@ -24,31 +24,33 @@
     this.child.kill(signal);
   }
 
-  /** Waits for the end; the exit code is `null` after a signal. */
+  /** Waits until the process exits; the exit code is `null` if a signal ended it. */
   public async waitForExit(): Promise<number | null> {
-    return await this.ended;
+    return await this.exitCode;
   }
 
-  /** Ends the process at once, also when it is stopped. */
+  /**
+   * Kills the process immediately, even if it is suspended by `SIGSTOP`, and waits until it exits.
+   */
   public async kill(): Promise<void> {
     this.child.kill('SIGKILL');
-    await this.ended;
+    await this.exitCode;
   }
 }
 
-/** What to start. */
+/** Options of {@link launch}. */
 export interface LaunchOptions {
   readonly name: string;
-  /** Path of the script below the workspace's packages, such as `instance/dist/bin.js`. */
+  /** Path of the script relative to the `packages` folder, such as `instance/dist/bin.js`. */
   readonly script: string;
   readonly commandLine: readonly string[];
-  /** Called with every line of the process's standard output. */
+  /** Called with every line that the process writes to its standard output. */
   readonly onLine?: (line: string) => void;
 }
 
 const packagesDirectory = new URL('../../../', import.meta.url);
 
-/** Starts a script of the workspace as a process of its own. */
+/** Starts a script of the repository as a child process. */
 export function launch(options: LaunchOptions): LaunchedProcess {
   const script = new URL(options.script, packagesDirectory).pathname;
   const child = spawn(process.execPath, [script, ...options.commandLine], {
--- a/packages/stand-ins/src/launch/fleet.ts
+++ b/packages/stand-ins/src/launch/fleet.ts
@@ -13,7 +13,7 @@
 import { launchStandIn } from './standInProcess.js';
 import { waitUntil } from './waitUntil.js';
 
-/** One instance that runs as a process of its own. */
+/** An instance that runs as a child process. */
 export interface FleetInstance {
   readonly id: string;
   readonly zone: string;
@@ -24,7 +24,7 @@
   process: LaunchedProcess;
 }
 
-/** One upstream replica that runs as a process of its own. */
+/** An upstream replica that runs as a child process. */
 export interface FleetUpstream {
   readonly id: string;
   readonly service: string;
@@ -32,43 +32,43 @@
   readonly standIn: StandInProcess;
 }
 
-/** What a fleet is made of. */
+/** Options of a {@link Fleet}. */
 export interface FleetOptions {
   readonly instances: number;
   readonly zones: readonly string[];
   readonly engines: number;
   readonly plainServices: number;
-  /** Settings of the instances beside their names and addresses. */
+  /** Settings of the instances, in addition to their names and addresses. */
   readonly settings?: Readonly<Record<string, unknown>>;
-  /** Command lines of the engines beside their role. */
+  /** Command-line arguments of the engines, in addition to their role. */
   readonly engineCommandLine?: readonly string[];
-  /** Lag of the platform's list of instances, in milliseconds. */
+  /** Delay until a change of the platform's list of instances is visible, in milliseconds. */
   readonly directoryLagMilliseconds?: number;
   /** Called with every log line of every instance. */
   readonly onLog?: (instance: string, line: string) => void;
 }
 
-/** Instances and the world around them, as processes on loopback. */
+/** Instances, upstreams and a platform stand-in, each a child process that listens on loopback. */
 export class Fleet {
   public readonly instances: FleetInstance[] = [];
   public readonly upstreams: FleetUpstream[] = [];
-  private readonly leaving = new Set<string>();
+  private readonly leavingIds = new Set<string>();
   private readonly ports = new PortReservations();
 
   private constructor(
     public readonly platform: StandInProcess,
-    private readonly directory: string,
+    private readonly temporaryDirectory: string,
     private readonly options: FleetOptions,
   ) {}
 
-  /** Starts everything and waits until the platform's list shows it. */
+  /** Starts all processes and publishes the list of instances and upstreams. */
   public static async start(options: FleetOptions): Promise<Fleet> {
     const platform = await launchStandIn('platform', [
       '--lag-milliseconds',
       String(options.directoryLagMilliseconds ?? 100),
     ]);
-    const directory = await mkdtemp(join(tmpdir(), 'zincring-'));
-    const fleet = new Fleet(platform, directory, options);
+    const temporaryDirectory = await mkdtemp(join(tmpdir(), 'zincring-'));
+    const fleet = new Fleet(platform, temporaryDirectory, options);
     for (let index = 0; index < options.engines; index++) {
       await fleet.addUpstream('engine', 'minutes-llm', options.engineCommandLine ?? []);
     }
@@ -82,7 +82,7 @@
     return fleet;
   }
 
-  /** Starts one more instance; {@link Fleet.publish} makes it known. */
+  /** Starts another instance; {@link Fleet.publish} adds it to the list of instances. */
   public async addInstance(): Promise<FleetInstance> {
     const id = `entry-${this.instances.length + 1}`;
     const zone = this.zoneOf(this.instances.length);
@@ -100,7 +100,7 @@
       zone,
       ...this.options.settings,
     };
-    const settingsFile = join(this.directory, `${id}.json`);
+    const settingsFile = join(this.temporaryDirectory, `${id}.json`);
     await writeFile(settingsFile, JSON.stringify(settings));
     const instance: FleetInstance = {
       callerAddress: settings.callerAddress,
@@ -115,12 +115,12 @@
     return instance;
   }
 
-  /** Starts an instance again that has ended. */
+  /** Restarts an instance that has exited. */
   public restart(instance: FleetInstance): void {
     instance.process = this.launchInstance(instance.id, instance.settingsFile);
   }
 
-  /** Starts one more upstream; {@link Fleet.publish} makes it known. */
+  /** Starts another upstream; {@link Fleet.publish} adds it to the list of instances. */
   public async addUpstream(
     role: 'engine' | 'plain-service',
     service: string,
@@ -135,11 +135,11 @@
 
   /** Marks an instance or upstream as leaving in the platform's list. */
   public async markLeaving(id: string): Promise<void> {
-    this.leaving.add(id);
+    this.leavingIds.add(id);
     await this.publish();
   }
 
-  /** Gives the platform its list of instances; it shows with the platform's lag. */
+  /** Sends the list of instances and upstreams to the platform, which shows it after its lag. */
   public async publish(): Promise<void> {
     const entries: DirectoryEntry[] = [
       ...this.instances.map(instance => ({
@@ -160,12 +160,12 @@
     await this.controlPlatform('instances', { instances: entries });
   }
 
-  /** Sets a switch of the platform stand-in, such as `faults`. */
+  /** Sends a control request, such as `faults`, to the platform stand-in. */
   public async controlPlatform(name: string, body: unknown): Promise<unknown> {
     return await controlStandIn(this.platform.address, name, body);
   }
 
-  /** Runs zincringctl against the platform; gives its exit code and output. */
+  /** Runs zincringctl against the platform; returns its exit code and output. */
   public async control(
     ...commandLine: readonly string[]
   ): Promise<{ readonly exitCode: number | null; readonly output: string }> {
@@ -180,9 +180,9 @@
     return { exitCode, output: lines.join('\n') };
   }
 
-  /** Writes a rule file and applies it. */
+  /** Writes a rule file and applies it with zincringctl. */
   public async applyRules(text: string): Promise<void> {
-    const file = join(this.directory, 'rules.txt');
+    const file = join(this.temporaryDirectory, 'rules.txt');
     await writeFile(file, text);
     const { exitCode, output } = await this.control(
       'apply',
@@ -193,7 +193,7 @@
       'start',
     );
     if (exitCode !== 0) {
-      throw new Error(`zincringctl apply ended with ${String(exitCode)}: ${output}`);
+      throw new Error(`zincringctl apply exited with code ${String(exitCode)}: ${output}`);
     }
   }
 
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Ends every process. */
+  /** Kills every process and deletes the temporary files. */
   public async stop(): Promise<void> {
     const processes = [
       ...this.instances.map(instance => instance.process),
@@ -216,7 +216,7 @@
     ];
     await Promise.all(processes.map(async process => process.kill()));
     this.ports.release();
-    await rm(this.directory, { force: true, recursive: true });
+    await rm(this.temporaryDirectory, { force: true, recursive: true });
   }
 
   private launchInstance(id: string, settingsFile: string): LaunchedProcess {
@@ -233,11 +233,11 @@
   }
 
   private stateOf(id: string): 'leaving' | 'live' {
-    return this.leaving.has(id) ? 'leaving' : 'live';
+    return this.leavingIds.has(id) ? 'leaving' : 'live';
   }
 }
 
-/** Sets or reads a switch of a stand-in. */
+/** Sends a control request to a stand-in and returns the JSON body of the response. */
 export async function controlStandIn(
   address: string,
   name: string,
--- a/packages/stand-ins/src/launch/portReservations.ts
+++ b/packages/stand-ins/src/launch/portReservations.ts
@@ -2,48 +2,48 @@
 
 import { createServer } from 'node:net';
 
-/** First port that is handed out; the kernel gives ports from 32768 on to outgoing connections. */
+/** First port of the range; the kernel uses ports from 32768 on for outgoing connections. */
 const FIRST_PORT = 12_000;
-/** Number of ports that may be handed out. */
+/** Number of ports in the range. */
 const PORT_COUNT = 18_000;
-/** Address whose ports stand for reservations; instances listen on 127.0.0.1. */
-const GUARD_ADDRESS = '127.0.0.2';
+/** Loopback address on whose ports reservations are held; instances listen on 127.0.0.1. */
+const RESERVATION_ADDRESS = '127.0.0.2';
 
 /**
- * Ports for processes that must keep their address over restarts. A reservation is held by
- * listening on the same port of another loopback address, so that no other launcher hands the port
- * out; it lies outside the range from which the kernel picks ports.
+ * Reserves ports for processes that must keep their address over restarts. A reservation is held by
+ * listening on the same port of another loopback address, which keeps other processes that use this
+ * class from reserving it. All ports lie outside the range from which the kernel chooses ports.
  *
  * @example
  * const port = await reservations.reserve();
  */
 export class PortReservations {
-  private readonly guards: Server[] = [];
-  private next = process.pid % PORT_COUNT;
+  private readonly reservations: Server[] = [];
+  private nextOffset = process.pid % PORT_COUNT;
 
-  /** Reserves a port of 127.0.0.1 until {@link PortReservations.release}. */
+  /** Reserves a free port of 127.0.0.1 until {@link PortReservations.release}. */
   public async reserve(): Promise<number> {
-    for (let tries = 0; tries < PORT_COUNT; tries++) {
-      const port = FIRST_PORT + (this.next++ % PORT_COUNT);
-      const guard = await listenIfFree(GUARD_ADDRESS, port);
-      if (guard === undefined) {
+    for (let attempt = 0; attempt < PORT_COUNT; attempt++) {
+      const port = FIRST_PORT + (this.nextOffset++ % PORT_COUNT);
+      const reservation = await listenIfFree(RESERVATION_ADDRESS, port);
+      if (reservation === undefined) {
         continue;
       }
       const probe = await listenIfFree('127.0.0.1', port);
       if (probe === undefined) {
-        guard.close();
+        reservation.close();
         continue;
       }
       await new Promise(resolve => probe.close(resolve));
-      this.guards.push(guard);
+      this.reservations.push(reservation);
       return port;
     }
-    throw new Error('no port is free');
+    throw new Error('no free port in the reservation range');
   }
 
-  /** Gives all ports back. */
+  /** Releases all reserved ports. */
   public release(): void {
-    this.guards.splice(0).forEach(guard => guard.close());
+    this.reservations.splice(0).forEach(reservation => reservation.close());
   }
 }
 
--- a/packages/stand-ins/src/launch/standInProcess.ts
+++ b/packages/stand-ins/src/launch/standInProcess.ts
@@ -1,9 +1,9 @@
 import { launch, type LaunchedProcess } from './childProcess.js';
 
-/** A stand-in that runs as a process of its own. */
+/** A stand-in that runs as a child process. */
 export interface StandInProcess {
   readonly process: LaunchedProcess;
-  /** IP number and port. */
+  /** IP address and port. */
   readonly address: string;
 }
 
--- a/packages/stand-ins/src/launch/steadyLoad.ts
+++ b/packages/stand-ins/src/launch/steadyLoad.ts
@@ -1,56 +1,56 @@
 import type { CallAnswer, CallerClient } from './callerClient.js';
 
-/** What the load sends. */
+/** Options of a {@link SteadyLoad}. */
 export interface SteadyLoadOptions {
   readonly client: CallerClient;
-  /** Callers' address for the next request. */
+  /** Returns the callers' address for the next request. */
   readonly pickAddress: () => string;
   readonly policy: string;
-  /** Programs under way at a time. */
+  /** Number of programs that run concurrently. */
   readonly programs: number;
-  /** Turns of each program: model calls, each second one followed by an order. */
+  /** Number of turns of each program; odd turns call the model, even turns place an order. */
   readonly turns: number;
   readonly maxTokens: number;
 }
 
-/** A program that went to its end. */
+/** A program whose turns were all answered. */
 export interface FinishedProgram {
   readonly program: string;
   readonly answers: readonly string[];
 }
 
 /**
- * Runs programs one after the other in several lanes. Whatever is not a whole answer is noted and
- * ends its lane.
+ * Runs programs in several concurrent workers, one after the other in each. A worker stops at its
+ * first incomplete answer, which is recorded as a failure.
  */
 export class SteadyLoad {
   public readonly failures: string[] = [];
   public readonly finished: FinishedProgram[] = [];
-  /** Call ids of whole answers whose turns were not told to be durable. */
-  public readonly undurable: string[] = [];
-  /** Call ids of the orders that were answered. */
-  public readonly orders: string[] = [];
+  /** Identifiers of the calls whose answers were complete but not reported as durable. */
+  public readonly nonDurableCalls: string[] = [];
+  /** Identifiers of the orders for which a response arrived. */
+  public readonly answeredOrders: string[] = [];
   private isStopping = false;
-  private lanes: Promise<unknown> = Promise.resolve();
-  private opened = 0;
+  private workers: Promise<unknown> = Promise.resolve();
+  private openedPrograms = 0;
 
   public constructor(private readonly options: SteadyLoadOptions) {}
 
-  /** Begins to send. */
+  /** Starts the workers. */
   public start(): void {
-    const lanes = Array.from({ length: this.options.programs }, async () => this.runLane());
-    this.lanes = Promise.all(lanes);
+    const workers = Array.from({ length: this.options.programs }, async () => this.runWorker());
+    this.workers = Promise.all(workers);
   }
 
-  /** Lets the programs under way finish. */
+  /** Starts no further programs and waits until those in progress finish. */
   public async stop(): Promise<void> {
     this.isStopping = true;
-    await this.lanes;
+    await this.workers;
   }
 
-  private async runLane(): Promise<void> {
+  private async runWorker(): Promise<void> {
     while (!this.isStopping) {
-      const name = `load-${this.opened++}`;
+      const name = `load-${this.openedPrograms++}`;
       try {
         await this.runProgram(name);
       } catch (failure) {
@@ -70,19 +70,19 @@
     const program = String(opened.body['program']);
     const answers: string[] = [];
     for (let turn = 1; turn <= turns; turn++) {
-      const answer = await this.takeTurn(name, program, turn);
+      const answer = await this.runTurn(name, program, turn);
       if (answer.closed?.['turn'] !== turn) {
         throw new Error(`turn ${turn}: ${JSON.stringify(answer)}`);
       }
       if (answer.closed['durable'] !== true) {
-        this.undurable.push(`${name}-${turn}`);
+        this.nonDurableCalls.push(`${name}-${turn}`);
       }
       answers.push(answer.text);
     }
     this.finished.push({ answers, program });
   }
 
-  private async takeTurn(name: string, program: string, turn: number): Promise<CallAnswer> {
+  private async runTurn(name: string, program: string, turn: number): Promise<CallAnswer> {
     const { client, maxTokens, pickAddress } = this.options;
     const call = `${name}-${turn}`;
     const isOrder = turn % 2 === 0;
@@ -95,7 +95,7 @@
         : { maxTokens, service: 'minutes-llm' }),
     });
     if (isOrder) {
-      this.orders.push(call);
+      this.answeredOrders.push(call);
     }
     return answer;
   }
--- a/packages/stand-ins/src/launch/waitUntil.ts
+++ b/packages/stand-ins/src/launch/waitUntil.ts
@@ -1,17 +1,16 @@
-/** Pause between two looks at a condition, in milliseconds. */
-const LOOK_PAUSE_MILLISECONDS = 50;
+const POLL_INTERVAL_MILLISECONDS = 50;
 
-/** Waits until a condition holds; an error counts as not yet. */
+/** Polls a condition until it holds; an error of the condition counts as not holding. */
 export async function waitUntil(
   condition: () => Promise<boolean>,
   timeoutMilliseconds = 30_000,
 ): Promise<void> {
-  const giveUpAt = performance.now() + timeoutMilliseconds;
-  while (performance.now() < giveUpAt) {
+  const deadline = performance.now() + timeoutMilliseconds;
+  while (performance.now() < deadline) {
     if (await condition().catch(() => false)) {
       return;
     }
-    await new Promise(resolve => setTimeout(resolve, LOOK_PAUSE_MILLISECONDS));
+    await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MILLISECONDS));
   }
   throw new Error(`the condition did not hold within ${timeoutMilliseconds} ms`);
 }
--- a/packages/stand-ins/src/soak/faultInjector.ts
+++ b/packages/stand-ins/src/soak/faultInjector.ts
@@ -4,7 +4,7 @@
 import { controlStandIn } from '../launch/fleet.js';
 import { pause } from './programDriver.js';
 
-/** Faults that a soak injects. */
+/** Faults that a soak test injects. */
 export type SoakFault =
   | 'engine-lost-orders'
   | 'instance-freeze'
@@ -15,7 +15,7 @@
   | 'platform-outage'
   | 'service-lost-answers';
 
-/** Every fault, in the order of the report. */
+/** All faults; the seeded random choice depends on their order. */
 export const soakFaults: readonly SoakFault[] = [
   'engine-lost-orders',
   'instance-freeze',
@@ -27,44 +27,44 @@
   'service-lost-answers',
 ];
 
-/** What injecting faults needs. */
+/** Options of a {@link FaultInjector}. */
 export interface FaultInjectorOptions {
   readonly fleet: Fleet;
   readonly random: RandomSource;
   readonly isOver: () => boolean;
-  /** Called with every fault. */
+  /** Called with every injected fault. */
   readonly report: (fault: SoakFault, detail: string) => void;
-  /** Called with an instance whose planned stop did not end. */
-  readonly reportEndlessStop: (instance: string) => void;
+  /** Called with an instance whose planned stop did not finish in time. */
+  readonly reportStopTimeout: (instance: string) => void;
 }
 
-const LONGEST_PAUSE_MILLISECONDS = 4_000;
-const LONGEST_FREEZE_MILLISECONDS = 12_000;
-const LONGEST_OUTAGE_MILLISECONDS = 10_000;
-const MOST_LOST_ANSWERS = 5;
-/** Longest call, longest outage and handover together, in milliseconds. */
-const LONGEST_PLANNED_STOP_MILLISECONDS = 60_000;
+const MAXIMUM_PAUSE_MILLISECONDS = 4_000;
+const MAXIMUM_FREEZE_MILLISECONDS = 12_000;
+const MAXIMUM_OUTAGE_MILLISECONDS = 10_000;
+const MAXIMUM_LOST_ANSWERS = 5;
+/** Covers the longest call, the longest outage and the handover together. */
+const PLANNED_STOP_TIMEOUT_MILLISECONDS = 60_000;
 
-/** Injects random faults, sometimes two at a time, until the run is over. */
+/** Injects random faults, at most two at a time, until the run is over. */
 export class FaultInjector {
-  /** Instances that a fault has in its hands; no second one takes them meanwhile. */
-  private readonly busy = new Set<FleetInstance>();
+  /** Instances with a fault in progress; no second fault is injected into them. */
+  private readonly faultedInstances = new Set<FleetInstance>();
 
   public constructor(private readonly options: FaultInjectorOptions) {}
 
-  /** Injects faults until the run is over, then heals everything. */
+  /** Injects faults until the run is over, then switches off the faults of the platform. */
   public async run(): Promise<void> {
     const { isOver, random } = this.options;
-    const running = new Set<Promise<void>>();
+    const inProgress = new Set<Promise<void>>();
     while (!isOver()) {
-      await pause(random.below(LONGEST_PAUSE_MILLISECONDS));
-      const fault = this.inject(random.pick(soakFaults)).finally(() => running.delete(fault));
-      running.add(fault);
-      if (running.size > 1) {
-        await Promise.race(running);
+      await pause(random.below(MAXIMUM_PAUSE_MILLISECONDS));
+      const fault = this.inject(random.pick(soakFaults)).finally(() => inProgress.delete(fault));
+      inProgress.add(fault);
+      if (inProgress.size > 1) {
+        await Promise.race(inProgress);
       }
     }
-    await Promise.all(running);
+    await Promise.all(inProgress);
     await this.options.fleet.controlPlatform('faults', {
       errors: 0,
       lostAnswers: 0,
@@ -84,7 +84,7 @@
       case 'instance-freeze':
         await this.withInstance(fault, async instance => {
           instance.process.signal('SIGSTOP');
-          await pause(random.below(LONGEST_FREEZE_MILLISECONDS));
+          await pause(random.below(MAXIMUM_FREEZE_MILLISECONDS));
           instance.process.signal('SIGCONT');
         });
         return;
@@ -96,59 +96,65 @@
         });
         return;
       case 'platform-hang':
-        await this.platformOutage(fault, 'hang');
+        await this.causePlatformOutage(fault, 'hang');
         return;
       case 'platform-outage':
-        await this.platformOutage(fault, 'refuse');
+        await this.causePlatformOutage(fault, 'refuse');
         return;
       case 'platform-lost-answers':
         this.options.report(fault, '');
-        await fleet.controlPlatform('faults', { lostAnswers: 1 + random.below(MOST_LOST_ANSWERS) });
+        await fleet.controlPlatform('faults', {
+          lostAnswers: 1 + random.below(MAXIMUM_LOST_ANSWERS),
+        });
         return;
       case 'engine-lost-orders':
-        await this.switchUpstream(fault, 'minutes-llm', { lostOrders: MOST_LOST_ANSWERS });
+        await this.setUpstreamBehaviour(fault, 'minutes-llm', { lostOrders: MAXIMUM_LOST_ANSWERS });
         return;
       case 'service-lost-answers':
-        await this.switchUpstream(fault, 'ticket-app', { lostAnswers: 1 });
+        await this.setUpstreamBehaviour(fault, 'ticket-app', { lostAnswers: 1 });
         return;
     }
   }
 
   private async withInstance(
     fault: SoakFault,
-    act: (instance: FleetInstance) => Promise<void>,
+    action: (instance: FleetInstance) => Promise<void>,
   ): Promise<void> {
-    const free = this.options.fleet.instances.filter(instance => !this.busy.has(instance));
+    const free = this.options.fleet.instances.filter(
+      instance => !this.faultedInstances.has(instance),
+    );
     if (free.length === 0) {
       return;
     }
     const instance = this.options.random.pick(free);
-    this.busy.add(instance);
+    this.faultedInstances.add(instance);
     this.options.report(fault, instance.id);
-    await act(instance).finally(() => this.busy.delete(instance));
+    await action(instance).finally(() => this.faultedInstances.delete(instance));
   }
 
-  /** A planned stop that does not end is reported and ended, so that the run can go on. */
+  /**
+   * Waits for a planned stop; after a timeout, reports and kills the instance so the run continues.
+   */
   private async waitForPlannedStop(instance: FleetInstance): Promise<void> {
     const hasEnded = await Promise.race([
       instance.process.waitForExit().then(() => true),
-      pause(LONGEST_PLANNED_STOP_MILLISECONDS).then(() => false),
+      pause(PLANNED_STOP_TIMEOUT_MILLISECONDS).then(() => false),
     ]);
     if (!hasEnded) {
-      this.options.reportEndlessStop(instance.id);
+      this.options.reportStopTimeout(instance.id);
       await instance.process.kill();
     }
   }
 
-  private async platformOutage(fault: SoakFault, outage: 'hang' | 'refuse'): Promise<void> {
+  private async causePlatformOutage(fault: SoakFault, outage: 'hang' | 'refuse'): Promise<void> {
     const { fleet, random, report } = this.options;
     report(fault, '');
     await fleet.controlPlatform('faults', { outage });
-    await pause(random.below(LONGEST_OUTAGE_MILLISECONDS));
+    await pause(random.below(MAXIMUM_OUTAGE_MILLISECONDS));
     await fleet.controlPlatform('faults', { outage: 'none' });
   }
 
-  private async switchUpstream(
+  private async setUpstreamBehaviour(
     fault: SoakFault,
     service: string,
     behaviour: Readonly<Record<string, number>>,
--- a/packages/stand-ins/src/soak/invariants.ts
+++ b/packages/stand-ins/src/soak/invariants.ts
@@ -7,33 +7,33 @@
 import { controlStandIn } from '../launch/fleet.js';
 import { waitUntil } from '../launch/waitUntil.js';
 
-/** Something that must always hold and did not. */
+/** Violation of an invariant. */
 export interface Violation {
   readonly invariant: string;
   readonly detail: string;
 }
 
-/** What checking needs. */
+/** Options of {@link findViolations}. */
 export interface InvariantOptions {
   readonly fleet: Fleet;
   readonly key: string;
   readonly programs: readonly DrivenProgram[];
 }
 
-interface SeenExecution {
+interface RecordedExecution {
   readonly call: string;
   readonly path: string;
   readonly headers: Readonly<Record<string, unknown>>;
 }
 
-interface SeenGenerations {
+interface RecordedGenerations {
   readonly requests: readonly { readonly segments: readonly string[] }[];
   readonly headers: readonly Readonly<Record<string, unknown>>[];
 }
 
-const MARKER_PATTERN = /<driver-\d+-\d+>/g;
+const PROGRAM_MARKER_PATTERN = /<driver-\d+-\d+>/g;
 
-/** Checks after a soak what must always hold. */
+/** Checks the invariants after a soak test; returns all violations. */
 export async function findViolations(options: InvariantOptions): Promise<readonly Violation[]> {
   return [
     ...(await findLostTurns(options)),
@@ -51,7 +51,7 @@
     if (last === undefined) {
       continue;
     }
-    const state = await describe(options, client, driven.program);
+    const state = await describeProgram(options, client, driven.program);
     const turn = Number(state['turn'] ?? 0);
     if (turn < last.turn) {
       const detail = `${driven.program}: turn ${last.turn} was durable, the program has ${turn}`;
@@ -60,13 +60,16 @@
     }
     if (turn === last.turn && state['digest'] !== expectedDigest(driven, last.turn)) {
       const detail = `${driven.program} after turn ${turn}`;
-      violations.push({ detail, invariant: 'the history is what the caller was told' });
+      violations.push({
+        detail,
+        invariant: 'the history matches the answers that its caller received',
+      });
     }
   }
   return violations;
 }
 
-async function describe(
+async function describeProgram(
   options: InvariantOptions,
   client: CallerClient,
   program: string,
@@ -93,10 +96,10 @@
   const executions = new Map<string, number>();
   const violations: Violation[] = [];
   for (const upstream of options.fleet.upstreams.filter(each => each.service === 'ticket-app')) {
-    const seen = (await controlStandIn(upstream.standIn.address, 'executions')) as {
-      readonly executions: readonly SeenExecution[];
+    const recorded = (await controlStandIn(upstream.standIn.address, 'executions')) as {
+      readonly executions: readonly RecordedExecution[];
     };
-    for (const execution of seen.executions) {
+    for (const execution of recorded.executions) {
       const call = execution.path.split('/').at(-1) ?? '';
       executions.set(call, (executions.get(call) ?? 0) + 1);
       violations.push(...findLeakedKey(options.key, execution.headers, upstream.id));
@@ -109,7 +112,7 @@
       const detail = `${order.call} ran ${count} times`;
       violations.push({ detail, invariant: 'a non-idempotent call runs at most once' });
     }
-    if (count > 0 && order.told.length > 0 && order.told.every(ran => ran === 'no')) {
+    if (count > 0 && order.ranReports.length > 0 && order.ranReports.every(ran => ran === 'no')) {
       violations.push({ detail: order.call, invariant: 'a refusal that says "not run" is true' });
     }
   }
@@ -123,15 +126,18 @@
 async function findMixedHistories(options: InvariantOptions): Promise<readonly Violation[]> {
   const violations: Violation[] = [];
   for (const upstream of options.fleet.upstreams.filter(each => each.service === 'minutes-llm')) {
-    const seen = (await controlStandIn(upstream.standIn.address, 'seen')) as SeenGenerations;
-    for (const { segments } of seen.requests) {
-      const markers = new Set(segments.join('').match(MARKER_PATTERN) ?? []);
+    const recorded = (await controlStandIn(
+      upstream.standIn.address,
+      'seen',
+    )) as RecordedGenerations;
+    for (const { segments } of recorded.requests) {
+      const markers = new Set(segments.join('').match(PROGRAM_MARKER_PATTERN) ?? []);
       if (markers.size > 1) {
         const detail = [...markers].join(' ');
         violations.push({ detail, invariant: 'histories of programs never mix' });
       }
     }
-    for (const headers of seen.headers) {
+    for (const headers of recorded.headers) {
       violations.push(...findLeakedKey(options.key, headers, upstream.id));
     }
   }
--- a/packages/stand-ins/src/soak/main.ts
+++ b/packages/stand-ins/src/soak/main.ts
@@ -22,13 +22,13 @@
 
 const settings = await yargs(hideBin(process.argv))
   .scriptName('soak')
-  .usage('$0: random faults over real processes, then a check of what must always hold')
+  .usage('$0: injects random faults into real processes, then checks the invariants')
   .strict()
   .options({
-    drivers: { default: 8, describe: 'programs that run side by side', type: 'number' },
-    instances: { default: 3, describe: 'instances', type: 'number' },
-    seconds: { default: 60, describe: 'how long to inject faults', type: 'number' },
-    seed: { default: 1, describe: 'seed of the faults and of the load', type: 'number' },
+    drivers: { default: 8, describe: 'number of programs that run concurrently', type: 'number' },
+    instances: { default: 3, describe: 'number of instances', type: 'number' },
+    seconds: { default: 60, describe: 'duration of the fault injection', type: 'number' },
+    seed: { default: 1, describe: 'seed of the faults and the load', type: 'number' },
   })
   .parseAsync();
 
@@ -49,7 +49,7 @@
   const endsAt = performance.now() + settings.seconds * 1_000;
   const isOver = (): boolean => performance.now() >= endsAt;
   const faults = new Map<SoakFault, number>();
-  const endlessStops: Violation[] = [];
+  const stopTimeouts: Violation[] = [];
   const drivers = Array.from(
     { length: settings.drivers },
     (_, index) =>
@@ -69,15 +69,15 @@
       faults.set(fault, (faults.get(fault) ?? 0) + 1);
       print(`${fault} ${detail}`);
     },
-    reportEndlessStop: instance => {
-      endlessStops.push({ detail: instance, invariant: 'a planned stop ends' });
+    reportStopTimeout: instance => {
+      stopTimeouts.push({ detail: instance, invariant: 'a planned stop ends' });
     },
   });
   await Promise.all([injector.run(), ...drivers.map(async driver => driver.run())]);
   await fleet.waitUntilReady();
   await pause(SETTLE_MILLISECONDS);
   const programs = drivers.flatMap(driver => driver.programs);
-  const violations = [...endlessStops, ...(await findViolations({ fleet, key: KEY, programs }))];
+  const violations = [...stopTimeouts, ...(await findViolations({ fleet, key: KEY, programs }))];
   const calls = programs.flatMap(driven => driven.calls);
   const answered = calls.filter(call => call.text !== undefined).length;
   print(`faults: ${JSON.stringify(Object.fromEntries(faults))}`);
--- a/packages/stand-ins/src/soak/programDriver.ts
+++ b/packages/stand-ins/src/soak/programDriver.ts
@@ -3,45 +3,47 @@
 
 import { CallerClient, type CallAnswer } from '../launch/callerClient.js';
 
-/** One call as its caller knows it. */
+/** A call, with what its caller knows of it. */
 export interface DrivenCall {
   readonly call: string;
   readonly service: string;
   readonly turn: number;
   readonly input: string;
-  /** What every answer said about the work: `ran` of the refusals, or `yes`. */
-  readonly told: string[];
-  /** The whole answer; `undefined` while there is none. */
+  /**
+   * For each attempt: `ran` of its error, `maybe` without a response, `yes` for a complete answer.
+   */
+  readonly ranReports: string[];
+  /** The complete answer; `undefined` until it arrives. */
   text: string | undefined;
-  /** Whether the turn was told durable. */
+  /** Whether the answer reported the turn as durable. */
   isDurable: boolean;
 }
 
-/** One program as its caller knows it. */
+/** A program, with what its caller knows of it. */
 export interface DrivenProgram {
   readonly program: string;
   readonly marker: string;
   readonly calls: DrivenCall[];
 }
 
-/** What drivers share. */
+/** Options of a {@link ProgramDriver}. */
 export interface DriverOptions {
   readonly fleet: Fleet;
   readonly key: string;
   readonly random: RandomSource;
   /** Whether the run is over. */
   readonly isOver: () => boolean;
-  /** Most turns of a program. */
+  /** Maximum number of turns of a program. */
   readonly maximumTurns: number;
 }
 
 const PAUSE_AFTER_REFUSAL_MILLISECONDS = 100;
 const CALL_TIMEOUT_SECONDS = 20;
 const ANSWER_TOKENS = 12;
-/** One call in this many goes to the service whose calls have effects. */
+/** On average, one call in this many goes to the service whose calls have side effects. */
 const CALLS_PER_ORDER = 3;
 
-/** Runs one program after the other until the run is over; resends what was refused. */
+/** Runs one program after the other until the run is over; resends calls that were not answered. */
 export class ProgramDriver {
   public readonly programs: DrivenProgram[] = [];
   private readonly client: CallerClient;
@@ -54,19 +56,19 @@
     this.client = new CallerClient(options.key);
   }
 
-  /** Drives programs until the run is over. */
+  /** Runs programs until the run is over. */
   public async run(): Promise<void> {
     while (!this.options.isOver()) {
-      const driven = await this.open();
+      const driven = await this.openProgram();
       if (driven !== undefined) {
-        await this.drive(driven);
+        await this.runProgram(driven);
       }
     }
   }
 
-  private async open(): Promise<DrivenProgram | undefined> {
+  private async openProgram(): Promise<DrivenProgram | undefined> {
     try {
-      const opened = await this.client.openProgram(this.anyAddress(), 'trace');
+      const opened = await this.client.openProgram(this.randomAddress(), 'trace');
       if (opened.status !== 201) {
         await pause(PAUSE_AFTER_REFUSAL_MILLISECONDS);
         return undefined;
@@ -81,7 +83,7 @@
     }
   }
 
-  private async drive(driven: DrivenProgram): Promise<void> {
+  private async runProgram(driven: DrivenProgram): Promise<void> {
     const turns = 1 + this.options.random.below(this.options.maximumTurns);
     for (let turn = 1; turn <= turns && !this.options.isOver(); turn++) {
       const isOrder = this.options.random.below(CALLS_PER_ORDER) === 0;
@@ -91,28 +93,28 @@
         isDurable: false,
         service: isOrder ? 'ticket-app' : 'minutes-llm',
         text: undefined,
-        told: [],
+        ranReports: [],
         turn,
       };
       driven.calls.push(call);
-      if (!(await this.complete(driven, call))) {
+      if (!(await this.sendUntilAnswered(driven, call))) {
         return;
       }
     }
   }
 
-  /** Sends a call until it has a whole answer; `false` when it never will. */
-  private async complete(driven: DrivenProgram, call: DrivenCall): Promise<boolean> {
+  /** Sends a call until its answer is complete; returns `false` if it cannot be any more. */
+  private async sendUntilAnswered(driven: DrivenProgram, call: DrivenCall): Promise<boolean> {
     while (!this.options.isOver()) {
       const answer = await this.send(driven, call);
       if (answer?.closed !== undefined) {
         call.text = answer.text;
         call.isDurable = answer.closed['durable'] === true;
-        call.told.push('yes');
+        call.ranReports.push('yes');
         return true;
       }
-      const kind = readText(answer, 'kind', 'no-answer');
-      call.told.push(readText(answer, 'ran', 'maybe'));
+      const kind = readErrorField(answer, 'kind', 'no-answer');
+      call.ranReports.push(readErrorField(answer, 'ran', 'maybe'));
       const isFinal = ['call-outcome-unknown', 'program-not-found', 'turn-conflict'].includes(kind);
       if (isFinal) {
         return false;
@@ -124,7 +126,7 @@
 
   private async send(driven: DrivenProgram, call: DrivenCall): Promise<CallAnswer | undefined> {
     try {
-      return await this.client.call(this.anyAddress(), driven.program, {
+      return await this.client.call(this.randomAddress(), driven.program, {
         call: call.call,
         input: call.input,
         maxTokens: ANSWER_TOKENS,
@@ -138,17 +140,17 @@
     }
   }
 
-  private anyAddress(): string {
+  private randomAddress(): string {
     return this.options.random.pick(this.options.fleet.instances).callerAddress;
   }
 }
 
-/** Waits for a time of the wall clock. */
+/** Waits for a number of milliseconds. */
 export async function pause(milliseconds: number): Promise<void> {
   await new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-function readText(answer: CallAnswer | undefined, field: string, fallback: string): string {
+function readErrorField(answer: CallAnswer | undefined, field: string, fallback: string): string {
   const value = answer?.error?.[field];
   return typeof value === 'string' ? value : fallback;
 }
--- a/packages/stand-ins/tests/wholeAnswers.process.test.ts
+++ b/packages/stand-ins/tests/completeAnswers.process.test.ts
@@ -20,7 +20,7 @@
 program trace services=minutes-llm tokens=1000000 calls=500 # dana: traces
 `;
 
-describe('an answer under way', () => {
+describe('answers of instances', () => {
   let fleet: Fleet;
   const client = new CallerClient(KEY);
 
@@ -55,19 +55,21 @@
     });
   }
 
-  /** Tokens of the stand-in carry a number: each must come once, in order, from one prompt. */
-  function expectBeginning(text: string): void {
+  /**
+   * Checks by the numbers in the stand-in's tokens that each came once, in order, from one prompt.
+   */
+  function expectTokensInOrder(text: string): void {
     const tokens = text.split(' ').filter(token => token !== '');
     const prompt = tokens[0]?.split('-')[0] ?? '';
     expect(tokens).toEqual(tokens.map((_token, index) => `${prompt}-${index}`));
   }
 
-  /** Sends the call until its answer is whole; gives the last answer otherwise. */
-  async function repeatUntilWhole(program: string): Promise<CallAnswer> {
-    const giveUpAt = performance.now() + 25_000;
+  /** Resends the call until its answer is complete; returns the last answer after 25 s. */
+  async function resendUntilComplete(program: string): Promise<CallAnswer> {
+    const deadline = performance.now() + 25_000;
     for (;;) {
       const answer = await call(fleet.instances[1]!, program, 1);
-      if (answer.closed !== undefined || performance.now() > giveUpAt) {
+      if (answer.closed !== undefined || performance.now() > deadline) {
         expect(answer.error).toBeUndefined();
         return answer;
       }
@@ -76,7 +78,7 @@
   }
 
   it.each(['SIGKILL', 'SIGSTOP'] as const)(
-    'is whole or ends clearly when any instance gets %s, and is whole when sent again',
+    'are complete or end with an error when any instance gets %s, and are complete after a resend',
     async signal => {
       const entry = fleet.instances[0]!;
       for (const victim of fleet.instances) {
@@ -101,19 +103,19 @@
           await resume();
         }
         if (first !== undefined) {
-          expectBeginning(first.text);
+          expectTokensInOrder(first.text);
           expect((first.closed === undefined) !== (first.error === undefined)).toBe(true);
         }
         await fleet.waitUntilReady();
-        const again = await repeatUntilWhole(program);
-        expectBeginning(again.text);
+        const again = await resendUntilComplete(program);
+        expectTokensInOrder(again.text);
         expect(again.text.split(' ')).toHaveLength(TOKENS + 1);
         expect(again.closed).toMatchObject({ turn: 1 });
       }
     },
   );
 
-  it('of another workspace is not told from one that does not exist', async () => {
+  it('do not reveal whether a program of another workspace exists', async () => {
     const program = await open('private');
     const other = new CallerClient(OTHER_KEY);
     const { callerAddress } = fleet.instances[1]!;
--- a/packages/stand-ins/tests/thinPath.process.test.ts
+++ b/packages/stand-ins/tests/endToEnd.process.test.ts
@@ -14,7 +14,7 @@
 program trace services=minutes-llm,ticket-app tokens=100000 calls=50 # dana: traces
 `;
 
-describe('the whole path through separate processes', () => {
+describe('the complete path of a call through separate processes', () => {
   let fleet: Fleet;
   const client = new CallerClient(KEY);
 
@@ -38,7 +38,7 @@
     return await client.openWhenReady(fleet.instances[0]!.callerAddress, 'trace');
   }
 
-  it('keeps the history of a program through the kill of every instance in turn', async () => {
+  it('keeps the history of a program while each instance in turn is killed', async () => {
     const program = await open();
     const answers: string[] = [];
     for (let turn = 1; turn <= 6; turn++) {
--- a/packages/stand-ins/tests/plannedStop.process.test.ts
+++ b/packages/stand-ins/tests/plannedStop.process.test.ts
@@ -4,7 +4,7 @@
 import { CallerClient } from '../src/launch/callerClient.js';
 import { controlStandIn, Fleet } from '../src/launch/fleet.js';
 import { waitUntil } from '../src/launch/waitUntil.js';
-import { ReadyBalancer } from '../src/launch/readyBalancer.js';
+import { LoadBalancer } from '../src/launch/loadBalancer.js';
 import { SteadyLoad } from '../src/launch/steadyLoad.js';
 
 const KEY = 'planned-stop-key';
@@ -46,18 +46,18 @@
     await fleet.stop();
   });
 
-  async function executions(): Promise<readonly string[]> {
+  async function listExecutedCalls(): Promise<readonly string[]> {
     const services = fleet.upstreams.filter(upstream => upstream.service === 'ticket-app');
-    const seen = await Promise.all(
+    const recorded = await Promise.all(
       services.map(async ({ standIn }) => controlStandIn(standIn.address, 'executions')),
     );
-    return seen.flatMap(each => (each as Executions).executions.map(({ call }) => call));
+    return recorded.flatMap(each => (each as Executions).executions.map(({ call }) => call));
   }
 
-  const undurable: string[] = [];
+  const nonDurableCalls: string[] = [];
 
-  it('of every instance in turn cuts off nothing, refuses nothing and loses no history', async () => {
-    const balancer = new ReadyBalancer(fleet.instances);
+  it('of each instance in turn interrupts no answer, refuses no call and loses no history', async () => {
+    const balancer = new LoadBalancer(fleet.instances);
     await balancer.start();
     const load = new SteadyLoad({
       client,
@@ -81,17 +81,17 @@
     }
     await load.stop();
     balancer.stop();
-    undurable.push(...load.undurable);
+    nonDurableCalls.push(...load.nonDurableCalls);
 
     expect(load.failures).toEqual([]);
     expect(exitCodes).toEqual([0, 0, 0]);
-    const orders = (await executions()).map(call => call.slice(call.lastIndexOf('/') + 1));
-    expect([...orders].sort()).toEqual([...load.orders].sort());
+    const orders = (await listExecutedCalls()).map(call => call.slice(call.lastIndexOf('/') + 1));
+    expect([...orders].sort()).toEqual([...load.answeredOrders].sort());
     await checkHistories(load);
   });
 
-  it('tells every turn durable that it answers while shards are handed over', () => {
-    expect(undurable).toEqual([]);
+  it('reports every turn answered during a handover of shards as durable', () => {
+    expect(nonDurableCalls).toEqual([]);
   });
 
   async function checkHistories(load: SteadyLoad): Promise<void> {
@@ -102,13 +102,13 @@
     }
   }
 
-  it('of an upstream gives it nothing new after 3 s, though the list lags', async () => {
+  it('of an upstream sends it no new calls after 3 s, although the list of instances lags', async () => {
     const leaving = fleet.upstreams.find(upstream => upstream.service === 'ticket-app')!;
-    const seenBy = async (): Promise<number> => {
-      const seen = await controlStandIn(leaving.standIn.address, 'executions');
-      return (seen as Executions).executions.length;
+    const countExecutions = async (): Promise<number> => {
+      const recorded = await controlStandIn(leaving.standIn.address, 'executions');
+      return (recorded as Executions).executions.length;
     };
-    const order = async (index: number): Promise<void> => {
+    const sendOrder = async (index: number): Promise<void> => {
       const instance = fleet.instances[index % 3]!;
       const response = await fetch(
         `http://${instance.callerAddress}/v1/services/ticket-app/orders`,
@@ -118,10 +118,10 @@
     };
     await fleet.markLeaving(leaving.id);
     await new Promise(resolve => setTimeout(resolve, 3_000));
-    const before = await seenBy();
+    const before = await countExecutions();
     for (let index = 0; index < 30; index++) {
-      await order(index);
+      await sendOrder(index);
     }
-    expect(await seenBy()).toBe(before);
+    expect(await countExecutions()).toBe(before);
   });
 });
--- a/packages/stand-ins/tests/portReservations.test.ts
+++ b/packages/stand-ins/tests/portReservations.test.ts
@@ -12,7 +12,7 @@
     });
   });
 
-  it('never hands a port to two launchers', async () => {
+  it('never reserves a port twice, also across several reservers', async () => {
     const ports: number[] = [];
     for (let round = 0; round < 10; round++) {
       for (const launcher of launchers) {
@@ -22,7 +22,7 @@
     expect(new Set(ports).size).toBe(ports.length);
   });
 
-  it('hands out ports on which a process can listen', async () => {
+  it('reserves ports on which a process can listen', async () => {
     const port = await launchers[0]!.reserve();
     const server = createServer();
     await new Promise<void>((resolve, reject) => {
@@ -32,7 +32,7 @@
     server.close();
   });
 
-  it('hands out ports that the kernel gives to no connection', async () => {
+  it('reserves ports below those that the kernel uses for outgoing connections', async () => {
     expect(await launchers[0]!.reserve()).toBeLessThan(32_768);
   });
 });
--- a/packages/stand-ins/tests/effects.process.test.ts
+++ b/packages/stand-ins/tests/sideEffects.process.test.ts
@@ -10,7 +10,7 @@
 import { waitUntil } from '../src/launch/waitUntil.js';
 
 const KEY = 'effects-key';
-const EFFECT_MILLISECONDS = 1_500;
+const EFFECT_DELAY_MILLISECONDS = 1_500;
 const FREEZE_MILLISECONDS = 9_000;
 
 const rules = `
@@ -20,14 +20,17 @@
 program trace services=ticket-app tokens=1000 calls=50 # dana: traces
 `;
 
-interface Trial {
+interface FaultCase {
   readonly fault: 'SIGKILL' | 'SIGSTOP';
-  /** When the home is hit, counted from when the call was sent. */
+  /** Delay between sending the call and injecting the fault, in milliseconds. */
   readonly afterMilliseconds: number;
 }
 
-/** Before the intent, while the work is done, and between effect and answer. */
-const trials: readonly Trial[] = (['SIGKILL', 'SIGSTOP'] as const).flatMap(fault =>
+/**
+ * Faults before the intent is written, before the side effect, and between side effect and
+ * response.
+ */
+const faultCases: readonly FaultCase[] = (['SIGKILL', 'SIGSTOP'] as const).flatMap(fault =>
   [0, 300, 2_000].map(afterMilliseconds => ({ afterMilliseconds, fault })),
 );
 
@@ -50,8 +53,8 @@
     await fleet.applyRules(rules);
     await fleet.waitUntilReady();
     await controlStandIn(fleet.upstreams[0]!.standIn.address, 'behaviour', {
-      delayAfterMilliseconds: EFFECT_MILLISECONDS,
-      delayBeforeMilliseconds: EFFECT_MILLISECONDS,
+      delayAfterMilliseconds: EFFECT_DELAY_MILLISECONDS,
+      delayBeforeMilliseconds: EFFECT_DELAY_MILLISECONDS,
     });
   });
 
@@ -71,7 +74,7 @@
     return await client.openWhenReady(entry.callerAddress, 'trace');
   }
 
-  async function hit(victim: FleetInstance, fault: Trial['fault']): Promise<void> {
+  async function injectFault(victim: FleetInstance, fault: FaultCase['fault']): Promise<void> {
     if (fault === 'SIGKILL') {
       await victim.process.kill();
       fleet.restart(victim);
@@ -82,8 +85,8 @@
     victim.process.signal('SIGCONT');
   }
 
-  /** Sends a call until its fate is told for good. */
-  async function insist(
+  /** Resends a call until it is answered or its outcome is reported as unknown. */
+  async function sendUntilOutcomeKnown(
     entry: FleetInstance,
     program: string,
     call: string,
@@ -101,26 +104,29 @@
     }, 60_000);
   }
 
-  it.each(trials)('$fault after $afterMilliseconds ms', async ({ afterMilliseconds, fault }) => {
-    await fleet.waitUntilReady();
-    const [entry] = fleet.instances;
-    const call = `${fault}-${String(afterMilliseconds)}`;
-    // Programs live on any of the instances: both that are not the entry are hit at once.
-    const programs = [await open(entry!), await open(entry!), await open(entry!)];
-    const answers = programs.map((): CallAnswer[] => []);
-    const sent = programs.map(async (program, index) =>
-      insist(entry!, program, `${call}-${String(index)}`, answers[index]!),
-    );
-    await pause(afterMilliseconds);
-    const victims = fleet.instances.slice(1);
-    await Promise.all(victims.map(async victim => hit(victim, fault)));
-    await Promise.all(sent);
-    for (const [index, told] of answers.entries()) {
-      const executions = await executionsOf(`${call}-${String(index)}`);
-      expect(executions).toBeLessThanOrEqual(1);
-      if (told.some(answer => answer.closed !== undefined)) {
-        expect(executions).toBe(1);
+  it.each(faultCases)(
+    'run at most once with $fault $afterMilliseconds ms after they are sent',
+    async ({ afterMilliseconds, fault }) => {
+      await fleet.waitUntilReady();
+      const [entry] = fleet.instances;
+      const call = `${fault}-${String(afterMilliseconds)}`;
+      // The home of a program may be any instance: the fault hits both that are not the entry.
+      const programs = [await open(entry!), await open(entry!), await open(entry!)];
+      const answers = programs.map((): CallAnswer[] => []);
+      const sent = programs.map(async (program, index) =>
+        sendUntilOutcomeKnown(entry!, program, `${call}-${String(index)}`, answers[index]!),
+      );
+      await pause(afterMilliseconds);
+      const victims = fleet.instances.slice(1);
+      await Promise.all(victims.map(async victim => injectFault(victim, fault)));
+      await Promise.all(sent);
+      for (const [index, received] of answers.entries()) {
+        const executions = await executionsOf(`${call}-${String(index)}`);
+        expect(executions).toBeLessThanOrEqual(1);
+        if (received.some(answer => answer.closed !== undefined)) {
+          expect(executions).toBe(1);
+        }
       }
-    }
-  });
+    },
+  );
 });
--- a/packages/stand-ins/tests/upstreams.process.test.ts
+++ b/packages/stand-ins/tests/upstreams.process.test.ts
@@ -40,7 +40,7 @@
     return await client.openWhenReady(fleet.instances[instance]!.callerAddress, 'trace');
   }
 
-  async function heldPrograms(): Promise<readonly string[]> {
+  async function listHeldPrograms(): Promise<readonly string[]> {
     const held = await Promise.all(
       fleet.upstreams
         .filter(upstream => upstream.service === 'minutes-llm')
@@ -64,20 +64,20 @@
     expect(answer.closed).toMatchObject({ turn });
   }
 
-  it('release what they hold for a program that has ended, also when orders are lost', async () => {
+  it('release the cache of an ended program, even if release requests are lost', async () => {
     for (const upstream of fleet.upstreams.filter(each => each.service === 'minutes-llm')) {
       await controlStandIn(upstream.standIn.address, 'behaviour', { lostOrders: 2 });
     }
     const program = await open(0);
     await ask(0, program, 1);
     await ask(1, program, 2);
-    expect(await heldPrograms()).toContain(program);
+    expect(await listHeldPrograms()).toContain(program);
     const ended = await client.endProgram(fleet.instances[2]!.callerAddress, program);
     expect(ended.status).toBe(200);
-    await waitUntil(async () => !(await heldPrograms()).includes(program));
+    await waitUntil(async () => !(await listHeldPrograms()).includes(program));
   });
 
-  it('release what they hold for a program that ends after the death of its home', async () => {
+  it('release the cache of a program that ends after its home was killed', async () => {
     const ended = await open(0);
     const alive = await open(1);
     await ask(1, ended, 1);
@@ -89,14 +89,14 @@
     }
     const answer = await client.endProgram(fleet.instances[2]!.callerAddress, ended);
     expect(answer.status).toBe(200);
-    await waitUntil(async () => !(await heldPrograms()).includes(ended));
-    expect(await heldPrograms()).toContain(alive);
+    await waitUntil(async () => !(await listHeldPrograms()).includes(ended));
+    expect(await listHeldPrograms()).toContain(alive);
   });
 
-  it('survive a poison request, but for two, although it is resent through every instance', async () => {
-    let died = 0;
+  it('crash only twice on a poison request that is resent through every instance', async () => {
+    let crashCount = 0;
     for (const upstream of fleet.upstreams) {
-      void upstream.standIn.process.waitForExit().then(() => died++);
+      void upstream.standIn.process.waitForExit().then(() => crashCount++);
     }
     const kinds: unknown[] = [];
     for (let resend = 0; resend < 6; resend++) {
@@ -111,6 +111,6 @@
       kinds.push(answer.error?.['kind']);
     }
     expect(kinds.at(-1)).toBe('poison-request');
-    expect(died).toBe(2);
+    expect(crashCount).toBe(2);
   });
 });
