--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,10 @@
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
-/** Which workspace packages each package may import; docs/DEVELOPMENT.md shows the same table. */
+/**
+ * Packages of the repository that each package may import; docs/DEVELOPMENT.md shows the same
+ * table.
+ */
 const allowedImports = {
   core: [],
   rules: ['core'],
@@ -46,7 +49,7 @@
   },
 }));
 
-/** The adapter of the users' platform: nothing imports it. */
+/** Restricts the imports of the adapter of the users' platform, which no package imports. */
 const adapterBoundary = {
   files: ['platform/src/**/*.ts'],
   rules: {
@@ -56,7 +59,8 @@
         paths: ['control', 'instance', 'protocol', 'rules', 'scheduling', 'stand-ins'].map(
           name => ({
             name: `@zincring/${name}`,
-            message: 'The adapter translates; decisions live in the packages.',
+            message:
+              'The adapter only translates calls to the platform; decisions belong in the packages.',
           }),
         ),
         patterns: [{ group: ['@zincring/*/*'], message: 'Import the package by its name only.' }],
@@ -65,7 +69,7 @@
   },
 };
 
-/** Only the private package and the tests start processes. */
+/** Forbids starting processes and threads, except in the private package stand-ins and in tests. */
 const noProcesses = {
   files: packageNames
     .filter(name => name !== 'stand-ins')
@@ -77,7 +81,7 @@
       {
         selector:
           'ImportDeclaration[source.value=/^(node:)?(child_process|cluster|worker_threads)$/]',
-        message: 'A zincring process starts no process and no thread.',
+        message: 'A zincring process must not start processes or threads.',
       },
     ],
   },
--- a/packages/instance/bin/zincring.js
+++ b/packages/instance/bin/zincring.js
@@ -1,3 +1,3 @@
 #!/usr/bin/env node
-// npm links this file before the build has made what it loads.
+// A separate file, as npm links it at installation, before the build has created ../dist/bin.js.
 import '../dist/bin.js';
--- a/scripts/bundle.js
+++ b/scripts/bundle.js
@@ -1,4 +1,4 @@
-// Bundles the instance for the users' platform into one file: a short start, and no node_modules at run time.
+// Bundles the instance for the users' platform into one file, so it starts fast and needs no node_modules at run time.
 import { build } from 'esbuild';
 import { resolve } from 'node:path';
 
@@ -6,7 +6,10 @@
 
 const packages = ['core', 'gateway', 'platform', 'scheduling'];
 
-/** Leaves out the error texts that nobody reads: half of the bundle, which every start would parse. */
+/**
+ * Omits zod's error texts other than English: they are half of the bundle and are parsed at every
+ * start.
+ */
 const englishOnly = {
   name: 'english-only',
   setup({ onResolve }) {
--- a/scripts/runTests.js
+++ b/scripts/runTests.js
@@ -1,4 +1,4 @@
-// Runs every test. Tests listed in KNOWN-RED.txt may fail; they are printed, and nothing else may.
+// Runs all tests. Fails unless every failure is listed in KNOWN-RED.txt; prints the failures that are.
 import { spawnSync } from 'node:child_process';
 import { existsSync, readFileSync } from 'node:fs';
 import process from 'node:process';
@@ -6,7 +6,7 @@
 const KNOWN_RED_FILE = 'KNOWN-RED.txt';
 const REPORT_FILE = 'build/tests.json';
 
-/** Full names of the tests that may fail: lines `test: NAME` of the file. */
+/** Returns the full names of the tests that may fail: the lines `test: NAME` of the file. */
 function readKnownRed() {
   if (!existsSync(KNOWN_RED_FILE)) {
     return new Set();
--- a/scripts/zodLocales.js
+++ b/scripts/zodLocales.js
@@ -1,2 +1,2 @@
-// Stands for the error texts of zod in all languages, of which the instance uses English only.
+// Replaces zod's index of error texts in all languages, as the instance uses only English.
 export { default as en } from 'zod/v4/locales/en.js';
