--- a/packages/control/tests/configuration.process.test.ts
+++ b/packages/control/tests/configuration.process.test.ts
@@ -74,7 +74,7 @@
   });
 
   async function runControl(...commandLine: readonly string[]): Promise<Record<string, unknown>> {
-    const { exitCode, output } = await fleet.control(...commandLine, '--json');
+    const { exitCode, output } = await fleet.runZincringctl(...commandLine, '--json');
     expect(exitCode, output).toBe(0);
     return JSON.parse(output) as Record<string, unknown>;
   }
@@ -176,6 +176,6 @@
     expect(await caller.status()).not.toBe(401);
     caller.close();
     await fleet.controlPlatform('faults', { outage: 'none' });
-    await waitUntil(async () => (await fleet.control('status')).exitCode === 0);
+    await waitUntil(async () => (await fleet.runZincringctl('status')).exitCode === 0);
   });
 });
--- a/packages/stand-ins/src/demonstration/main.ts
+++ b/packages/stand-ins/src/demonstration/main.ts
@@ -69,7 +69,7 @@
   }
 
   private async killHomeOf(program: string): Promise<void> {
-    const shownProgram = await this.fleet.control('programs', 'show', program, '--json');
+    const shownProgram = await this.fleet.runZincringctl('programs', 'show', program, '--json');
     const { holder } = JSON.parse(shownProgram.output) as { readonly holder: string };
     const home = this.fleet.instances.find(instance => holder.startsWith(instance.id));
     if (home === undefined) {
--- a/packages/stand-ins/src/launch/fleet.ts
+++ b/packages/stand-ins/src/launch/fleet.ts
@@ -166,7 +166,7 @@
   }
 
   /** Runs zincringctl against the platform; returns its exit code and output. */
-  public async control(
+  public async runZincringctl(
     ...commandLine: readonly string[]
   ): Promise<{ readonly exitCode: number | null; readonly output: string }> {
     const lines: string[] = [];
@@ -184,7 +184,7 @@
   public async applyRules(text: string): Promise<void> {
     const file = join(this.temporaryDirectory, 'rules.txt');
     await writeFile(file, text);
-    const { exitCode, output } = await this.control(
+    const { exitCode, output } = await this.runZincringctl(
       'apply',
       file,
       '--requester',
--- a/packages/stand-ins/src/measurements/latency.ts
+++ b/packages/stand-ins/src/measurements/latency.ts
@@ -38,7 +38,7 @@
 }
 
 async function findHome(fleet: Fleet, program: string): Promise<string> {
-  const shownProgram = await fleet.control('programs', 'show', program, '--json');
+  const shownProgram = await fleet.runZincringctl('programs', 'show', program, '--json');
   const { holder } = JSON.parse(shownProgram.output) as { readonly holder: string };
   return holder;
 }
