--- a/packages/gateway/src/callers/callerResponse.ts
+++ b/packages/gateway/src/callers/callerResponse.ts
@@ -2,10 +2,10 @@
 
 import type { ResponseSink } from './responseSink.js';
 
-import { withoutFields } from '../util/headerList.js';
+import { withoutHeaders } from '../util/headerList.js';
 
-/** Headers that are replaced, since this instance frames the response itself. */
-const FRAMING_FIELDS: ReadonlySet<string> = new Set(['content-length']);
+/** Headers that are not copied, since this instance frames the response itself. */
+const FRAMING_HEADERS: ReadonlySet<string> = new Set(['content-length']);
 
 /**
  * Writes the response to a caller through Node's HTTP server.
@@ -26,13 +26,13 @@
   public send(status: number, headers: readonly string[], body: Buffer): void {
     const hasBody = status !== 204 && status !== 304;
     const length = hasBody ? ['Content-Length', String(body.length)] : [];
-    this.writeHead(status, [...withoutFields(headers, FRAMING_FIELDS), ...length]);
+    this.writeHead(status, [...withoutHeaders(headers, FRAMING_HEADERS), ...length]);
     this.response.end(hasBody ? body : undefined);
   }
 
   public startStream(status: number, headers: readonly string[]): void {
     this.writeHead(status, [
-      ...withoutFields(headers, FRAMING_FIELDS),
+      ...withoutHeaders(headers, FRAMING_HEADERS),
       'Transfer-Encoding',
       'chunked',
     ]);
--- a/packages/gateway/src/callers/requestFacts.ts
+++ b/packages/gateway/src/callers/requestFacts.ts
@@ -1,6 +1,6 @@
 import type { Brand, ProgramId, WorkspaceName } from '@zincring/core';
 
-/** Identifier of one attempt by a caller; a repeated request has another one. */
+/** Identifier of one request; a caller that repeats a request gives the repetition a new one. */
 export type RequestId = Brand<string, 'RequestId'>;
 /** Identifier of a stored turn: the id of the request that completed it. */
 export type TurnId = Brand<string, 'TurnId'>;
@@ -58,11 +58,11 @@
 
 /** Properties of a replica's response that are decoded from its status and headers. */
 export interface ResponseFacts {
-  /** Id of the request that it responds to, if it contains one. */
+  /** Id of the request that was responded to, if the headers contain one. */
   readonly requestId: string | undefined;
   /** Whether the replica guarantees that it did not run the request. */
   readonly isNotExecuted: boolean;
-  /** Whether it contains the stamp that replicas add; a response without it came from another server. */
+  /** Whether the headers contain the stamp that replicas add; a response without it came from another server. */
   readonly hasServerStamp: boolean;
   /** Whether the body has a content encoding, which replicas never apply. */
   readonly isEncoded: boolean;
--- a/packages/gateway/src/callers/requestPipeline.ts
+++ b/packages/gateway/src/callers/requestPipeline.ts
@@ -72,10 +72,10 @@
 const MAXIMUM_REFRESH_WAIT_MILLISECONDS = 150;
 /** Retry-After of an instance without a current configuration, in seconds: short, since another instance may have one. */
 const STALE_CONFIGURATION_RETRY_SECONDS = 0.03;
-/** Urgency at engines of requests with priority 0, the operator's highest. */
+/** Urgency that engines receive for requests with priority 0, the operator's highest priority. */
 const HIGHEST_PRIORITY_URGENCY = 1;
-/** Least urgent value of the engines' scale, which starts at 0. */
-const LEAST_URGENT = 9;
+/** Rank of the least urgent requests at engines; 0 is the most urgent rank. */
+const LEAST_URGENT_RANK = 9;
 
 /**
  * Handles a request from its headers to its response: route, key, rate, history and token budget,
@@ -244,7 +244,7 @@
       urgency:
         service.engine === undefined
           ? undefined
-          : Math.min(LEAST_URGENT, HIGHEST_PRIORITY_URGENCY + priority),
+          : Math.min(LEAST_URGENT_RANK, HIGHEST_PRIORITY_URGENCY + priority),
       workspace: workspace?.name,
     };
   }
--- a/packages/gateway/src/configuration/configurationFollower.ts
+++ b/packages/gateway/src/configuration/configurationFollower.ts
@@ -51,7 +51,7 @@
       timers,
       logger,
       {
-        backoffMilliseconds: INITIAL_BACKOFF_MILLISECONDS,
+        initialBackoffMilliseconds: INITIAL_BACKOFF_MILLISECONDS,
         pauseMilliseconds: 0,
         table: source.table,
         waitMilliseconds: options.waitMilliseconds,
--- a/packages/gateway/src/configuration/gatewayConfiguration.ts
+++ b/packages/gateway/src/configuration/gatewayConfiguration.ts
@@ -39,7 +39,7 @@
   /** Whether an interrupted stream may be resumed at another replica. */
   readonly isResumable: boolean;
   /** Whether the gateway stores turns, so that callers send only the new input of each turn. */
-  readonly keepsTurns: boolean;
+  readonly storesTurns: boolean;
   /** Time for which turns are stored, in milliseconds. */
   readonly retentionMilliseconds: number;
 }
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -26,4 +26,4 @@
 export type { GatewayOptions, ListenAddress } from './lifecycle/gatewayOptions.js';
 export type { ReplicaEntry, ReplicaRunId } from './upstreams/replica.js';
 export type { ReplicaSource } from './upstreams/replicaDirectory.js';
-export { toFields, withoutFields } from './util/headerList.js';
+export { toHeaderMap, withoutHeaders } from './util/headerList.js';
--- a/packages/gateway/src/lifecycle/gateway.ts
+++ b/packages/gateway/src/lifecycle/gateway.ts
@@ -55,13 +55,13 @@
 
 /** Maximum time that one request to the store waits for changes of replicas, in milliseconds: one heartbeat. */
 const REPLICA_POLL_TIMEOUT_MILLISECONDS = 1_000;
-/** Time that replicas need to register again after an outage of the store, in milliseconds: as stated by the platform. */
+/** Time that replicas need to register again after an outage of the store, in milliseconds: stated by the platform. */
 const REPLICA_REREGISTRATION_MILLISECONDS = 1_900;
-/** Minimum outage of the store after which entries of replicas may have expired, in milliseconds: over one heartbeat. */
+/** Minimum duration of an outage of the store after which entries of replicas may have expired, in milliseconds: longer than one heartbeat. */
 const MINIMUM_OUTAGE_MILLISECONDS = 2_500;
 /** Interval at which connections to removed replicas are closed, in milliseconds. */
 const CONNECTION_SWEEP_INTERVAL_MILLISECONDS = 1_000;
-/** Time without an answer of the store after which callers should use another instance, in milliseconds: over one wait for changes. */
+/** Time without an answer of the store after which callers should use another instance, in milliseconds: longer than one wait for changes. */
 const MAXIMUM_STORE_SILENCE_MILLISECONDS = 1_600;
 /** Timeout for the release of reserved tokens during shutdown, in milliseconds: fits the remainder of the grace period. */
 const BUDGET_RELEASE_TIMEOUT_MILLISECONDS = 400;
--- a/packages/gateway/src/lifecycle/gatewayOptions.ts
+++ b/packages/gateway/src/lifecycle/gatewayOptions.ts
@@ -44,13 +44,13 @@
 
 /**
  * Fraction of the revocation bound after which an instance without contact to the store refuses
- * requests. The margin is for the feed, which may miss a second of changes; from this age on,
- * refusals are allowed.
+ * requests. The remainder is a margin for the feed, which may miss changes for one second.
+ * Refusals are allowed from this age on.
  */
 const FRESH_SHARE = 0.6;
-/** Requests for changes of the configuration within the time that it counts as current. */
+/** Number of polls for changes of the configuration within the time that it counts as current. */
 const POLLS_WHILE_FRESH = 3;
-/** Reads of the list of replicas within the time that a draining one may receive new requests. */
+/** Number of reads of the list of replicas within the time that a draining one may receive new requests. */
 const POLLS_WHILE_REPLICA_DRAINS = 4;
 /** Fraction of the grace period in which new connections are accepted: the load balancer needs two seconds to redirect callers. */
 const ACCEPTING_SHARE = 0.45;
--- a/packages/gateway/src/limits/workspaceBucket.ts
+++ b/packages/gateway/src/limits/workspaceBucket.ts
@@ -53,7 +53,7 @@
   readonly held: number;
   /** Waiting requests that may be admitted when the grant arrives. */
   readonly immediate: number;
-  /** Whether the row must be written: it is left alone if nothing is granted and no credit is returned. */
+  /** Whether the row must be written: not if nothing is granted and no credit is returned. */
   readonly isChanged: boolean;
   /** Whether the tokens and all credit add up to less than the burst: the workspace uses more than its rate. */
   readonly isOverRate: boolean;
@@ -65,7 +65,7 @@
 const BURST_SLACK_SHARE = 0.1;
 /** Share of the burst that is not granted ahead of demand, so that waiting requests of any instance can be served. */
 const WAITING_RESERVE_BURST_SHARE = 0.3;
-/** Time for which requests that waited for a grant count as outstanding, in milliseconds; the instance uses the answer for half of it. */
+/** Time for which requests that waited for a grant count as outstanding, in milliseconds; the instance uses the grant for them only if the answer arrives within half of that time. */
 export const IMMEDIATE_GRANT_MILLISECONDS = 1_000;
 /** Further slack in requests: less than the operator tolerates above the limit. */
 const SLACK_REQUESTS = 12;
--- a/packages/gateway/src/limits/workspaceCredit.ts
+++ b/packages/gateway/src/limits/workspaceCredit.ts
@@ -24,9 +24,9 @@
   readonly waitingSince: number;
 }
 
-/** Time for which a holder uses its credit, at low and at steady demand, and the margin by which the store counts it longer. */
+/** Time for which a holder uses its credit at low and at steady demand, and additional time for which the store counts it. */
 const CREDIT_VALIDITY_MILLISECONDS = { storeMargin: 1_400, lowDemand: 2_000, steadyDemand: 4_000 };
-/** Time constant of the demand estimate, in milliseconds: a few of the pauses in which a program runs its tools. */
+/** Time constant of the demand estimate, in milliseconds: a few times the pause in which a program runs its tools. */
 const DEMAND_TIME_CONSTANT_MILLISECONDS = 3_000;
 /** Seconds of demand for which credit is requested ahead: longer than the interval between draws, shorter than credit is valid. */
 const REQUEST_AHEAD_SECONDS = 2;
--- a/packages/gateway/src/limits/workspaceRates.ts
+++ b/packages/gateway/src/limits/workspaceRates.ts
@@ -70,7 +70,7 @@
 const BUCKET_RATE_PER_SECOND = 80;
 /** Maximum number of buckets of one workspace. */
 const MAXIMUM_BUCKETS = 16;
-/** Maximum number of store failures after which one draw is retried. */
+/** Number of store failures up to which one draw is retried. */
 const MAXIMUM_STORE_FAILURES = 2;
 
 const unlimitedAdmission: RateAdmission = { refund: () => undefined };
--- a/packages/gateway/src/programs/programBudget.ts
+++ b/packages/gateway/src/programs/programBudget.ts
@@ -46,7 +46,7 @@
 
 /** Maximum wait of a turn for its tokens, in milliseconds: a few response times of a slow store. */
 const MAXIMUM_WAIT_MILLISECONDS = 1_200;
-/** Failures of the store after which one write is given up. */
+/** Number of store failures up to which one write is retried. */
 const MAXIMUM_FAILURES = 4;
 /** Time without a turn after which reserved tokens are released, in milliseconds: longer than most pauses between turns. */
 const RELEASE_AFTER_IDLE_MILLISECONDS = 2_000;
--- a/packages/gateway/src/programs/storedTurnRows.ts
+++ b/packages/gateway/src/programs/storedTurnRows.ts
@@ -93,13 +93,13 @@
  * const turn = decodeTurn(id, rows);
  */
 export function decodeTurn(id: TurnId, rows: readonly TurnChunk[]): StoredTurn | undefined {
-  const [first, ...rest] = rows;
+  const [first, ...laterChunks] = rows;
   if (first?.key !== id) {
     return undefined;
   }
   const end = first.value.indexOf(LINE_FEED);
   const head = readHead(first.value);
-  const pieces = rest.slice(0, head.chunks - 1).map(({ value }) => value);
+  const pieces = laterChunks.slice(0, head.chunks - 1).map(({ value }) => value);
   const content = Buffer.concat([first.value.subarray(end + 1), ...pieces]);
   return {
     ancestors: head.ancestors as readonly TurnId[],
--- a/packages/gateway/src/programs/turnStore.ts
+++ b/packages/gateway/src/programs/turnStore.ts
@@ -43,7 +43,8 @@
 /** Maximum number of reads of one turn while the store fails. */
 const MAXIMUM_READS = 4;
 
-type Chain = readonly StoredTurn[];
+/** Earlier turns of a conversation, oldest first. */
+type TurnChain = readonly StoredTurn[];
 
 /**
  * Stores the conversation history of routes on which callers send only their new input. Each turn
@@ -66,7 +67,7 @@
     request: RunnableRequest,
     signal: AbortSignal,
   ): Promise<Result<ComposedRequest, ZincringError>> {
-    if (!request.route.keepsTurns) {
+    if (!request.route.storesTurns) {
       return Ok({ body: request.body, turn: undefined });
     }
     const chain = await this.loadChain(request, signal);
@@ -83,7 +84,7 @@
   private async loadChain(
     { facts, workspace }: RunnableRequest,
     signal: AbortSignal,
-  ): Promise<Result<Chain, ZincringError>> {
+  ): Promise<Result<TurnChain, ZincringError>> {
     if (facts.previousTurn === undefined) {
       return Ok([]);
     }
@@ -150,7 +151,7 @@
     return page.ok ? Ok(page.val.rows.filter(row => isChunkOf(id, row.key))) : page;
   }
 
-  private createDraft(request: RunnableRequest, chain: Chain): TurnDraft | undefined {
+  private createDraft(request: RunnableRequest, chain: TurnChain): TurnDraft | undefined {
     const { facts, route, workspace } = request;
     if (facts.requestId === undefined) {
       return undefined;
--- a/packages/gateway/src/store/editRow.ts
+++ b/packages/gateway/src/store/editRow.ts
@@ -32,7 +32,7 @@
 export interface EditOptions {
   /** Stops the edit after its next failure; a write that was sent may still take effect. */
   readonly signal: AbortSignal;
-  /** Maximum number of store failures after which the edit is retried. */
+  /** Number of store failures up to which the edit is retried. */
   readonly maximumFailures: number;
   /** Whether to read the row first because the known row is likely out of date: reads are cheaper than conflicts. */
   readonly readsFirst: boolean;
--- a/packages/gateway/src/store/monitoredTable.ts
+++ b/packages/gateway/src/store/monitoredTable.ts
@@ -20,7 +20,7 @@
 
 /** Consecutive failures after which the store may count as unavailable. */
 const FAILURES_UNTIL_UNAVAILABLE = 2;
-/** Time without an answer after which the store may count as unavailable: much longer than its usual answers take. */
+/** Time without an answer after which the store may count as unavailable: much longer than its usual response time. */
 const SILENCE_UNTIL_UNAVAILABLE_MILLISECONDS = 250;
 
 /** Retry delay for callers while this instance cannot reach the store: short, since another instance may reach it. */
--- a/packages/gateway/src/store/tableFollower.ts
+++ b/packages/gateway/src/store/tableFollower.ts
@@ -28,7 +28,7 @@
   /** Pause after a successful request, in milliseconds: limits the requests that a busy table causes. */
   readonly pauseMilliseconds: number;
   /** First pause after a failure, in milliseconds; it doubles up to {@link MAXIMUM_BACKOFF_MILLISECONDS}. */
-  readonly backoffMilliseconds: number;
+  readonly initialBackoffMilliseconds: number;
 }
 
 /** Maximum pause after failures: a fraction of the time for which a withdrawn key may still be accepted. */
@@ -65,7 +65,7 @@
     private readonly listener: TableListener,
   ) {
     this.contact = new ContactAge(timers);
-    this.nextBackoffMilliseconds = options.backoffMilliseconds;
+    this.nextBackoffMilliseconds = options.initialBackoffMilliseconds;
   }
 
   /** Age of the last confirmation that the applied version of the table is current, in milliseconds. */
@@ -119,7 +119,7 @@
 
   private choosePauseMilliseconds(hasSucceeded: boolean): number {
     if (hasSucceeded) {
-      this.nextBackoffMilliseconds = this.options.backoffMilliseconds;
+      this.nextBackoffMilliseconds = this.options.initialBackoffMilliseconds;
       return this.options.pauseMilliseconds;
     }
     const pauseMilliseconds = this.nextBackoffMilliseconds;
--- a/packages/gateway/src/upstreams/crashRecord.ts
+++ b/packages/gateway/src/upstreams/crashRecord.ts
@@ -47,7 +47,7 @@
 /** Pause after a poll that returned crashes, in milliseconds: every instance reads every crash, so they are read in batches. */
 const POLL_PAUSE_MILLISECONDS = 1_000;
 /** Initial backoff after a failed poll, in milliseconds. */
-const BACKOFF_MILLISECONDS = 200;
+const INITIAL_BACKOFF_MILLISECONDS = 200;
 /** Retry delay for refused callers, in seconds. */
 const RETRY_AFTER_SECONDS = 60;
 
@@ -73,7 +73,7 @@
       dependencies.timers,
       dependencies.logger,
       {
-        backoffMilliseconds: BACKOFF_MILLISECONDS,
+        initialBackoffMilliseconds: INITIAL_BACKOFF_MILLISECONDS,
         pauseMilliseconds: POLL_PAUSE_MILLISECONDS,
         table: CRASH_TABLE,
         waitMilliseconds: POLL_WAIT_MILLISECONDS,
--- a/packages/gateway/src/upstreams/replicaDirectory.ts
+++ b/packages/gateway/src/upstreams/replicaDirectory.ts
@@ -30,7 +30,7 @@
   | { readonly kind: 'seen'; readonly entry: ReplicaEntry };
 
 /** Initial backoff after a failed poll, in milliseconds. */
-const BACKOFF_MILLISECONDS = 100;
+const INITIAL_BACKOFF_MILLISECONDS = 100;
 
 /**
  * List of the registered replicas. Entries may expire while the store is unavailable; replicas that
@@ -61,7 +61,7 @@
       timers,
       logger,
       {
-        backoffMilliseconds: BACKOFF_MILLISECONDS,
+        initialBackoffMilliseconds: INITIAL_BACKOFF_MILLISECONDS,
         pauseMilliseconds: options.pauseMilliseconds,
         table: source.table,
         waitMilliseconds: options.waitMilliseconds,
@@ -96,7 +96,7 @@
   }
 
   /** Returns all registered replicas. */
-  public all(): readonly ReplicaEntry[] {
+  public listAll(): readonly ReplicaEntry[] {
     this.dropExpired();
     return [...this.entries.values()];
   }
--- a/packages/gateway/src/upstreams/replicaLoads.ts
+++ b/packages/gateway/src/upstreams/replicaLoads.ts
@@ -4,7 +4,7 @@
 
 import { ReplicaAgent } from './replicaAgent.js';
 
-/** End of an attempt at a replica, as far as it shows the condition of the replica. */
+/** Outcome of an attempt, as evidence of the condition of the replica. */
 export type AttemptEnd = 'answered' | 'failed' | 'full' | 'misdirected' | 'unreachable';
 
 /** State of one run of a replica, as observed by this instance. */
@@ -38,7 +38,7 @@
 
   public constructor(
     private readonly timers: TimerService,
-    private readonly connectionsPerReplica: (entry: ReplicaEntry) => number,
+    private readonly getMaximumConnections: (entry: ReplicaEntry) => number,
   ) {}
 
   /** Finds the state of a run, or adds it on first use. */
@@ -48,7 +48,7 @@
       return known;
     }
     const state: ReplicaLoadState = {
-      agent: new ReplicaAgent(this.connectionsPerReplica(entry)),
+      agent: new ReplicaAgent(this.getMaximumConnections(entry)),
       avoidedUntil: -Infinity,
       consecutiveFailures: 0,
       inFlight: 0,
--- a/packages/gateway/src/upstreams/replicaPool.ts
+++ b/packages/gateway/src/upstreams/replicaPool.ts
@@ -63,7 +63,7 @@
 
   /** Closes the connections to replicas that are no longer registered. */
   public sweep(): void {
-    this.loads.retain(new Set(this.directory.all().map(entry => entry.runId)));
+    this.loads.retain(new Set(this.directory.listAll().map(entry => entry.runId)));
   }
 
   private findCandidates(
--- a/packages/gateway/src/util/headerList.ts
+++ b/packages/gateway/src/util/headerList.ts
@@ -3,23 +3,23 @@
  * with the same name, the last one counts.
  *
  * @example
- * toFields(['Host', 'agents.example']).get('host'); // 'agents.example'
+ * toHeaderMap(['Host', 'agents.example']).get('host'); // 'agents.example'
  */
-export function toFields(headers: readonly string[]): ReadonlyMap<string, string> {
-  const fields = new Map<string, string>();
+export function toHeaderMap(headers: readonly string[]): ReadonlyMap<string, string> {
+  const headerMap = new Map<string, string>();
   for (let index = 0; index + 1 < headers.length; index += 2) {
-    fields.set((headers[index] ?? '').toLowerCase(), headers[index + 1] ?? '');
+    headerMap.set((headers[index] ?? '').toLowerCase(), headers[index + 1] ?? '');
   }
-  return fields;
+  return headerMap;
 }
 
 /**
  * Copies a flat list of header names and values without those of the given lower-case names.
  *
  * @example
- * withoutFields(['Host', 'agents.example', 'TE', 'trailers'], new Set(['te'])); // ['Host', 'agents.example']
+ * withoutHeaders(['Host', 'agents.example', 'TE', 'trailers'], new Set(['te'])); // ['Host', 'agents.example']
  */
-export function withoutFields(headers: readonly string[], names: ReadonlySet<string>): string[] {
+export function withoutHeaders(headers: readonly string[], names: ReadonlySet<string>): string[] {
   const remainingHeaders: string[] = [];
   for (let index = 0; index + 1 < headers.length; index += 2) {
     const name = headers[index] ?? '';
--- a/packages/gateway/tests/lifecycle/gateway.test.ts
+++ b/packages/gateway/tests/lifecycle/gateway.test.ts
@@ -200,7 +200,7 @@
         : streamsEvents([1], 'whole');
       respond(socket, request);
     };
-    const fixture = await startGateway({ ...streamRoute, keepsTurns: true }, [[behaviour]]);
+    const fixture = await startGateway({ ...streamRoute, storesTurns: true }, [[behaviour]]);
     await fixture.send({ body: 'hello', headers: { 'request-id': 'turn-a' } });
     const statuses: number[] = [];
     for (let attempt = 0; attempt < 4; attempt++) {
--- a/packages/gateway/tests/lifecycle/zoneOutageDetector.test.ts
+++ b/packages/gateway/tests/lifecycle/zoneOutageDetector.test.ts
@@ -7,36 +7,36 @@
 interface Case {
   readonly name: string;
   readonly steps: readonly Step[];
-  readonly seconds: number;
+  readonly retryAfterSeconds: number;
 }
 
 const cases: readonly Case[] = [
-  { name: 'no check and no connection', seconds: 0.1, steps: [] },
-  { name: 'a connection while ready', seconds: 0.1, steps: ['ready', 'connection'] },
+  { name: 'no check and no connection', retryAfterSeconds: 0.1, steps: [] },
+  { name: 'a connection while ready', retryAfterSeconds: 0.1, steps: ['ready', 'connection'] },
   {
     name: 'a connection before the second unready check',
-    seconds: 0.1,
+    retryAfterSeconds: 0.1,
     steps: ['unready', 'connection', 'unready'],
   },
   {
     name: 'a connection after two unready checks',
-    seconds: 1,
+    retryAfterSeconds: 1,
     steps: ['unready', 'unready', 'connection'],
   },
   {
     name: 'ready again after a zone outage',
-    seconds: 0.1,
+    retryAfterSeconds: 0.1,
     steps: ['unready', 'unready', 'connection', 'ready'],
   },
   {
     name: 'one unready check after a zone outage has ended',
-    seconds: 0.1,
+    retryAfterSeconds: 0.1,
     steps: ['unready', 'unready', 'connection', 'ready', 'unready', 'connection'],
   },
 ];
 
 describe('ZoneOutageDetector', () => {
-  it.each(cases)('$name', ({ seconds, steps }) => {
+  it.each(cases)('$name', ({ retryAfterSeconds, steps }) => {
     const detector = new ZoneOutageDetector();
     for (const step of steps) {
       if (step === 'connection') {
@@ -45,6 +45,6 @@
         detector.recordReadinessCheck(step === 'ready');
       }
     }
-    expect(detector.retryAfterSeconds(0.1)).toBe(seconds);
+    expect(detector.retryAfterSeconds(0.1)).toBe(retryAfterSeconds);
   });
 });
--- a/packages/gateway/tests/limits/workspaceRates.test.ts
+++ b/packages/gateway/tests/limits/workspaceRates.test.ts
@@ -20,6 +20,7 @@
 const PROGRAM_SEEDS = [0, 13, 26, 39, 52, 65, 78, 91];
 /** Share of its rate that a workspace uses on a typical day. */
 const TYPICAL_LOAD_SHARE = 0.62;
+/** Mean number of requests per program in `runProgramLoad`. */
 const REQUESTS_PER_PROGRAM = 17.5;
 /** Share of a program's requests that arrives at its main instance. */
 const MAIN_INSTANCE_SHARE = 0.55;
@@ -33,16 +34,16 @@
   return (ratePerSecond * WINDOW_SECONDS + burst) * (1 + OVERAGE_SHARE) + SLACK_REQUESTS;
 }
 
-function countBusiestWindow(times: readonly number[]): number {
+function countRequestsInBusiestWindow(times: readonly number[]): number {
   return Math.max(
     0,
     ...times.map(end => times.filter(time => time <= end && time > end - 5_000).length),
   );
 }
 
-/** For requests of programs that have already started. */
+/** Argument of `admit` for requests of programs that have already started. */
 const doesNotStartProgram = async (): Promise<boolean> => await Promise.resolve(false);
-/** For the first request of a program. */
+/** Argument of `admit` for the first request of a program. */
 const startsProgram = async (): Promise<boolean> => await Promise.resolve(true);
 
 describe(WorkspaceRates, () => {
@@ -55,11 +56,11 @@
     store = new MemoryTable(timers);
   });
 
-  let instancesMade = 0;
+  let createdInstances = 0;
 
   function makeInstance(number: number, seed = 0): WorkspaceRates {
     return new WorkspaceRates({
-      holder: `run-${String(instancesMade++)}`,
+      holder: `run-${String(createdInstances++)}`,
       instance: `entry-${String(number)}` as InstanceId,
       logger: silentLogger,
       random: makeRandom(number + seed),
@@ -193,7 +194,7 @@
     async ({ perSecond, ratePerSecond }) => {
       const workspace = sampleWorkspace({ burst: ratePerSecond, ratePerSecond });
       const { admitted } = await sendRequests(makeInstances(13), workspace, perSecond, 12);
-      expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+      expect(countRequestsInBusiestWindow(admitted)).toBeLessThanOrEqual(
         computeMaximumRequestsPerWindow(workspace),
       );
       expect(admitted.length).toBeGreaterThan(ratePerSecond * 12 * 0.9);
@@ -203,7 +204,7 @@
   it('keeps a workspace with several buckets within the bound and serves it up to its rate', async () => {
     const workspace = sampleWorkspace({ burst: 160, ratePerSecond: 160 });
     const { admitted } = await sendRequests(makeInstances(20), workspace, 400, 8);
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+    expect(countRequestsInBusiestWindow(admitted)).toBeLessThanOrEqual(
       computeMaximumRequestsPerWindow(workspace),
     );
     expect(admitted.length).toBeGreaterThan(160 * 8 * 0.9);
@@ -245,7 +246,7 @@
       const part = await sendRequests(makeInstances(13), workspace, 60, 1.5);
       admitted.push(...part.admitted);
     }
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+    expect(countRequestsInBusiestWindow(admitted)).toBeLessThanOrEqual(
       computeMaximumRequestsPerWindow(workspace),
     );
   });
@@ -257,7 +258,7 @@
     const surge = await sendRequests(originalInstances, workspace, 1_000, 0.1, undefined, false);
     const after = await sendRequests(makeInstances(13), workspace, 400, 5);
     const admitted = [...steadyLoad.admitted, ...surge.admitted, ...after.admitted];
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+    expect(countRequestsInBusiestWindow(admitted)).toBeLessThanOrEqual(
       computeMaximumRequestsPerWindow(workspace),
     );
   });
@@ -270,7 +271,7 @@
     });
     const { admitted } = await sendRequests(instances, workspace, 60, 10);
     faultToggle.stop();
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+    expect(countRequestsInBusiestWindow(admitted)).toBeLessThanOrEqual(
       computeMaximumRequestsPerWindow(workspace),
     );
   });
@@ -290,7 +291,7 @@
     await sendRequests(instances, highLimit, 40, 4);
     await sendRequests(instances, lowLimit, 40, 4);
     const { admitted } = await sendRequests(instances, lowLimit, 40, 6);
-    expect(countBusiestWindow(admitted)).toBeLessThanOrEqual(
+    expect(countRequestsInBusiestWindow(admitted)).toBeLessThanOrEqual(
       computeMaximumRequestsPerWindow(lowLimit),
     );
   });
--- a/packages/gateway/tests/programs/turnStore.test.ts
+++ b/packages/gateway/tests/programs/turnStore.test.ts
@@ -49,7 +49,7 @@
       { previousTurn: previous as TurnId | undefined, requestId: id as RequestId },
       {
         body: Buffer.from(input),
-        route: sampleRoute({ keepsTurns: true }),
+        route: sampleRoute({ storesTurns: true }),
         workspace: workspace as WorkspaceName,
       },
     );
--- a/packages/gateway/tests/support/plainHeaderCodec.ts
+++ b/packages/gateway/tests/support/plainHeaderCodec.ts
@@ -1,6 +1,6 @@
 import type { ResponseFacts, RequestFacts, HeaderCodec } from '../../src/callers/requestFacts.js';
 
-import { toFields, withoutFields } from '../../src/util/headerList.js';
+import { toHeaderMap, withoutHeaders } from '../../src/util/headerList.js';
 import { sampleFacts } from './samples.js';
 
 /** Header codec for tests: header names in lower case, values without further encoding. */
@@ -10,30 +10,30 @@
     ...(retryAfterSeconds === undefined ? [] : ['retry-after', String(retryAfterSeconds)]),
   ],
   readResponse: (status, headers): ResponseFacts => {
-    const fields = toFields(headers);
+    const headerMap = toHeaderMap(headers);
     return {
-      isEncoded: fields.has('content-encoding'),
-      isNotExecuted: fields.has('not-executed') || status === 421,
-      hasServerStamp: fields.has('server-stamp'),
-      requestId: fields.get('request-id'),
+      isEncoded: headerMap.has('content-encoding'),
+      isNotExecuted: headerMap.has('not-executed') || status === 421,
+      hasServerStamp: headerMap.has('server-stamp'),
+      requestId: headerMap.get('request-id'),
     };
   },
   readFacts: headers => {
-    const fields = toFields(headers);
+    const headerMap = toHeaderMap(headers);
     return sampleFacts({
-      key: fields.get('key'),
-      lastEventId: fields.get('last-event-id'),
-      maximumOutputTokens: parseNumber(fields.get('most')),
-      previousTurn: fields.get('previous-turn') as RequestFacts['previousTurn'],
-      programId: fields.get('program') as RequestFacts['programId'],
-      remainingMilliseconds: Number(fields.get('remaining') ?? 3_000),
-      requestId: fields.get('request-id') as RequestFacts['requestId'],
-      tokenBudget: parseNumber(fields.get('token-budget')),
+      key: headerMap.get('key'),
+      lastEventId: headerMap.get('last-event-id'),
+      maximumOutputTokens: parseNumber(headerMap.get('most')),
+      previousTurn: headerMap.get('previous-turn') as RequestFacts['previousTurn'],
+      programId: headerMap.get('program') as RequestFacts['programId'],
+      remainingMilliseconds: Number(headerMap.get('remaining') ?? 3_000),
+      requestId: headerMap.get('request-id') as RequestFacts['requestId'],
+      tokenBudget: parseNumber(headerMap.get('token-budget')),
     });
   },
-  toCallerHeaders: headers => withoutFields(headers, new Set(['connection', 'transfer-encoding'])),
+  toCallerHeaders: headers => withoutHeaders(headers, new Set(['connection', 'transfer-encoding'])),
   toReplicaHeaders: (headers, attempt) => [
-    ...withoutFields(
+    ...withoutHeaders(
       headers,
       new Set(['connection', 'content-length', 'key', 'last-event-id', 'remaining']),
     ),
--- a/packages/gateway/tests/support/samples.ts
+++ b/packages/gateway/tests/support/samples.ts
@@ -40,7 +40,7 @@
     isOpen: false,
     isResumable: false,
     isSticky: false,
-    keepsTurns: false,
+    storesTurns: false,
     kind: 'streaming',
     maximumAttempts: 2,
     name: 'summaries' as RouteName,
--- a/packages/gateway/tests/upstreams/crashRecord.test.ts
+++ b/packages/gateway/tests/upstreams/crashRecord.test.ts
@@ -60,7 +60,7 @@
     expect(reads).toBeLessThanOrEqual(4 * instances.length);
   });
 
-  it('counts crashes by body, not by request id, which differs for each attempt', async () => {
+  it('counts crashes by body, not by request id, which changes when a caller repeats a request', async () => {
     for (const id of ['a', 'b', 'c']) {
       const attempt = sampleTurn(id, {}, { body: Buffer.from('poison') });
       instances[0]!.record(attempt, sampleReplica('r1'));
--- a/packages/gateway/tests/upstreams/replicaDirectory.test.ts
+++ b/packages/gateway/tests/upstreams/replicaDirectory.test.ts
@@ -38,7 +38,7 @@
     await timers.advance(100);
   });
 
-  function usableReplicas(): readonly string[] {
+  function findUsableReplicas(): readonly string[] {
     return directory
       .findReplicas(engineService.name)
       .filter(entry => !entry.isDraining)
@@ -46,7 +46,7 @@
   }
 
   it('lists the replicas of a service', () => {
-    expect(usableReplicas()).toEqual(['r1', 'r2']);
+    expect(findUsableReplicas()).toEqual(['r1', 'r2']);
   });
 
   it.each([
@@ -55,25 +55,25 @@
   ])('stops using a replica that %s in time', async (_name, entry) => {
     store.put(makeAddress('r1'), entry());
     await timers.advance(DRAIN_MILLISECONDS / 2);
-    expect(usableReplicas()).toEqual(['r2']);
+    expect(findUsableReplicas()).toEqual(['r2']);
   });
 
   it('stops using a removed replica in time', async () => {
     store.remove(makeAddress('r1'));
     await timers.advance(DRAIN_MILLISECONDS / 2);
-    expect(usableReplicas()).toEqual(['r2']);
+    expect(findUsableReplicas()).toEqual(['r2']);
   });
 
   it('keeps the other replicas when an entry cannot be decoded', async () => {
     store.put(makeAddress('r3'), 'not an entry');
     await timers.advance(1_000);
-    expect(usableReplicas()).toEqual(['r1', 'r2']);
+    expect(findUsableReplicas()).toEqual(['r1', 'r2']);
   });
 
   it('keeps the replicas while the store is unavailable', async () => {
     store.faults.isSilent = true;
     await timers.advance(10_000);
-    expect(usableReplicas()).toEqual(['r1', 'r2']);
+    expect(findUsableReplicas()).toEqual(['r1', 'r2']);
   });
 
   it('keeps replicas whose entries expired during an outage for the grace period', async () => {
@@ -84,10 +84,10 @@
     store.compact();
     store.faults.isSilent = false;
     await timers.advance(1_000);
-    expect(usableReplicas()).toEqual(['r1', 'r2']);
+    expect(findUsableReplicas()).toEqual(['r1', 'r2']);
     store.put(makeAddress('r2'), sampleReplica('r2'));
     await timers.advance(2_500);
-    expect(usableReplicas()).toEqual(['r2']);
+    expect(findUsableReplicas()).toEqual(['r2']);
   });
 
   it('reports a new run of a replica that restarted under the same id', async () => {
--- a/packages/gateway/tests/upstreams/replicaLoads.test.ts
+++ b/packages/gateway/tests/upstreams/replicaLoads.test.ts
@@ -44,13 +44,13 @@
 
   it('reduces the failures at a replica that fails half of its requests but passes its health checks', async () => {
     const random = makeRandom(3);
-    const other = sampleReplica('r2');
+    const healthyReplica = sampleReplica('r2');
     let failed = 0;
     for (let request = 0; request < 400; request++) {
-      const useFirst = !loads.isAvoided(replica) && random() < 0.5;
-      const fails = useFirst && random() < 0.45;
+      const usesFailingReplica = !loads.isAvoided(replica) && random() < 0.5;
+      const fails = usesFailingReplica && random() < 0.45;
       failed += fails ? 1 : 0;
-      loads.recordEnd(useFirst ? replica : other, fails ? 'failed' : 'answered');
+      loads.recordEnd(usesFailingReplica ? replica : healthyReplica, fails ? 'failed' : 'answered');
       await timers.advance(50);
     }
     // If the replica were not avoided, 90 of the 400 requests would fail.
