--- a/packages/gateway/tests/lifecycle/gateway.test.ts
+++ b/packages/gateway/tests/lifecycle/gateway.test.ts
@@ -203,9 +203,9 @@
     const fixture = await startGateway({ ...streamRoute, storesTurns: true }, [[behaviour]]);
     await fixture.send({ body: 'hello', headers: { 'request-id': 'turn-a' } });
     const statuses: number[] = [];
-    for (let attempt = 0; attempt < 4; attempt++) {
+    for (let repetition = 0; repetition < 4; repetition++) {
       const headers = {
-        'request-id': `poison-${String(attempt)}`,
+        'request-id': `poison-${String(repetition)}`,
         ...(previousTurn === undefined ? {} : { 'previous-turn': previousTurn }),
       };
       statuses.push((await fixture.send({ body: 'poison', headers })).status);
--- a/packages/gateway/tests/upstreams/crashRecord.test.ts
+++ b/packages/gateway/tests/upstreams/crashRecord.test.ts
@@ -62,8 +62,8 @@
 
   it('counts crashes by body, not by request id, which changes when a caller repeats a request', async () => {
     for (const id of ['a', 'b', 'c']) {
-      const attempt = sampleTurn(id, {}, { body: Buffer.from('poison') });
-      instances[0]!.record(attempt, sampleReplica('r1'));
+      const repetition = sampleTurn(id, {}, { body: Buffer.from('poison') });
+      instances[0]!.record(repetition, sampleReplica('r1'));
     }
     await timers.advance(100);
     const repeatedRequest = sampleTurn('d', {}, { body: Buffer.from('poison') });
