--- a/packages/gateway/tests/lifecycle/gateway.test.ts
+++ b/packages/gateway/tests/lifecycle/gateway.test.ts
@@ -200,12 +200,12 @@
         : streamsEvents([1], 'whole');
       respond(socket, request);
     };
-    const fixture = await startGateway({ ...streamRoute, keepsTurns: true }, [[behaviour]]);
+    const fixture = await startGateway({ ...streamRoute, storesTurns: true }, [[behaviour]]);
     await fixture.send({ body: 'hello', headers: { 'request-id': 'turn-a' } });
     const statuses: number[] = [];
-    for (let attempt = 0; attempt < 4; attempt++) {
+    for (let repetition = 0; repetition < 4; repetition++) {
       const headers = {
-        'request-id': `poison-${String(attempt)}`,
+        'request-id': `poison-${String(repetition)}`,
         ...(previousTurn === undefined ? {} : { 'previous-turn': previousTurn }),
       };
       statuses.push((await fixture.send({ body: 'poison', headers })).status);
