--- a/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/chooserBenchmark.ts
@@ -13,7 +13,7 @@
 const FIXED_REPLICA_COUNT = 1_200;
 /** Number of programs while the number of replicas varies. */
 const FIXED_PROGRAM_COUNT = 1_850;
-/** Prefixes of a program of six turns: a prompt and an answer for each turn. */
+/** Prefixes of a program of six turns: one for the prompt and one for the output of each turn. */
 const PREFIXES_PER_PROGRAM = 12;
 const TOKENS_PER_PREFIX = 1_000;
 const OPERATION_COUNT = 20_000;
--- a/packages/stand-ins/src/benchmarks/gossipBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/gossipBenchmark.ts
@@ -14,7 +14,7 @@
 const GROUP_COUNT = 500;
 const RECORD_PAYLOAD = 'x'.repeat(300);
 
-/** Measures merging the use by workspace that other instances announce, and encoding log groups. */
+/** Measures merging the announced use of each workspace, and encoding log groups. */
 export class GossipBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
     return [...INSTANCE_COUNTS.map(measureMerge), ...GROUP_SIZES.map(measureEncoding)];
--- a/packages/stand-ins/src/benchmarks/retryBenchmark.ts
+++ b/packages/stand-ins/src/benchmarks/retryBenchmark.ts
@@ -11,7 +11,7 @@
 const INSTANCE_COUNTS = [4, 38, 380];
 const OPERATION_COUNT = 200_000;
 
-/** Measures look-ups in the quarantine and attempts and retries at the retry budget. */
+/** Measures look-ups in the quarantine, and attempts and retries in the retry budget. */
 export class RetryBenchmark implements Benchmark {
   public run(): readonly BenchmarkResult[] {
     return [...BODY_COUNTS.map(measureQuarantine), ...INSTANCE_COUNTS.map(measureRetryBudget)];
--- a/packages/stand-ins/src/experiments/limits/mechanisms.ts
+++ b/packages/stand-ins/src/experiments/limits/mechanisms.ts
@@ -38,7 +38,7 @@
 
 /** Rate-limiting mechanism, as it runs at one instance. */
 export interface Mechanism extends Limiter {
-  /** Answers the loan request of another instance. */
+  /** Grants or refuses the loan request of another instance. */
   lend(request: LoanRequest): Loan;
   /** Acquires and renews leases; called twice a second. */
   tick(): void;
--- a/packages/stand-ins/src/experiments/limits/runScenario.ts
+++ b/packages/stand-ins/src/experiments/limits/runScenario.ts
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Sends no further requests; waiting requests are still answered. */
+  /** Sends no further requests; waiting requests still get a response. */
   public stop(): void {
     this.isStopped = true;
   }
--- a/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/limits/simulatedFleet.ts
@@ -67,7 +67,7 @@
   /** Faults of the table service, the same for all instances. */
   public readonly faults = new FaultSwitch(this.timers);
   public readonly table = new MemoryTable();
-  /** Number of messages sent between instances, requests and responses alike. */
+  /** Number of messages sent between instances, both requests and responses. */
   public messages = 0;
   /** Number of reads and writes at the table service. */
   public tableOperations = 0;
@@ -114,7 +114,7 @@
     this.partitionedPairs.clear();
   }
 
-  /** Replaces the process of an instance by a new one; ends the old one if it still runs. */
+  /** Replaces the process of an instance by a new one; kills the old one if it still runs. */
   public restart(instance: SimulatedInstance): void {
     instance.process.kill();
     Object.assign(instance, this.createProcess(instance.name));
@@ -145,7 +145,7 @@
     });
   }
 
-  /** Sends a request to an instance and calls back once it is answered. */
+  /** Sends a request to an instance and calls back with its outcome. */
   public request(
     instance: SimulatedInstance,
     workspace: string,
@@ -223,22 +223,22 @@
     request: LoanRequest,
   ): Promise<Loan | undefined> {
     return await new Promise(resolve => {
-      let isAnswered = false;
-      const answer = (loan: Loan | undefined): void => {
-        if (!isAnswered) {
-          isAnswered = true;
+      let isSettled = false;
+      const settle = (loan: Loan | undefined): void => {
+        if (!isSettled) {
+          isSettled = true;
           timeout.stop();
           resolve(loan);
         }
       };
       const timeout = process.after(LOAN_TIMEOUT_MILLISECONDS, () => {
-        answer(undefined);
+        settle(undefined);
       });
       this.send(borrower, lender, target => {
         const loan = target.mechanism.lend(request);
         this.send(lender, borrower, () => {
           process.run(() => {
-            answer(loan);
+            settle(loan);
           });
         });
       });
--- a/packages/stand-ins/src/experiments/limits/simulatedProcess.ts
+++ b/packages/stand-ins/src/experiments/limits/simulatedProcess.ts
@@ -12,7 +12,7 @@
 
 /**
  * Simulates one process: work that reaches it while it is paused is queued until it resumes, and
- * work that reaches it after it has died is dropped.
+ * work that reaches it after it was killed is dropped.
  */
 export class SimulatedProcess implements TimerService {
   private currentState: ProcessState = 'running';
--- a/packages/stand-ins/src/experiments/policy/alternatives/deficitRoundRobinQueue.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/deficitRoundRobinQueue.ts
@@ -23,7 +23,7 @@
 /** Tokens added to the deficit counter of a workspace in each round. */
 const QUANTUM_TOKENS = 2_000;
 /** Maximum number of rounds in one pop until a deficit counter covers the head of its queue. */
-const MAX_ROUNDS = 64;
+const MAXIMUM_ROUNDS = 64;
 
 /** Deficit round robin over workspaces by tokens; ignores the use at other instances. */
 export class DeficitRoundRobinQueue<Item extends QueueItem> implements WorkQueue<Item> {
@@ -49,7 +49,7 @@
   }
 
   public pop(_now: number, canRun: RunnablePredicate<Item>): Item | undefined {
-    for (let round = 0; round < MAX_ROUNDS * this.queues.size; round++) {
+    for (let round = 0; round < MAXIMUM_ROUNDS * this.queues.size; round++) {
       const [first] = this.queues;
       if (first === undefined) {
         return undefined;
--- a/packages/stand-ins/src/experiments/policy/alternatives/loadTrackingChooser.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/loadTrackingChooser.ts
@@ -97,7 +97,7 @@
   }
 }
 
-/** Load of a replica relative to the average from which the next replica in rank is chosen. */
+/** Maximum load of a replica relative to the average; at this load, the next in rank is tried. */
 const MAXIMUM_RELATIVE_LOAD = 1.25;
 
 /** Consistent hashing with bounded load; the key is the first prefix after the system prompt. */
--- a/packages/stand-ins/src/experiments/policy/alternatives/orders.ts
+++ b/packages/stand-ins/src/experiments/policy/alternatives/orders.ts
@@ -34,14 +34,14 @@
 }
 
 /** Maximum number of programs whose start is stored. */
-const MAX_PROGRAMS = 65_536;
+const MAXIMUM_PROGRAMS = 65_536;
 
 /** Orders the items of a workspace by the first call of their program, earliest first. */
 export class OldestProgramOrder implements ProgramOrder {
   private readonly order = new AttainedServiceOrder({
     deadlineSlackMilliseconds: 0,
     maximumDelayMilliseconds: 0,
-    maximumPrograms: MAX_PROGRAMS,
+    maximumPrograms: MAXIMUM_PROGRAMS,
     millisecondsPerToken: 0,
   });
 
--- a/packages/stand-ins/src/experiments/policy/capacity.ts
+++ b/packages/stand-ins/src/experiments/policy/capacity.ts
@@ -43,7 +43,7 @@
   const sampledCalls = calls.filter((_, index) => index % 5 === 0).slice(0, MEASURED_CALLS + 200);
   for (const [index, { inputTokens, outputTokens }] of sampledCalls.entries()) {
     const call = {
-      answeredPrefix: undefined,
+      prefixWithOutput: undefined,
       attainedTokens: 0,
       deadline: undefined,
       enqueuedAt: 0,
--- a/packages/stand-ins/src/experiments/policy/fleet/measurements.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/measurements.ts
@@ -45,7 +45,7 @@
   public readonly programs: ProgramOutcome[] = [];
   public readonly queueWaitMilliseconds = new Sample();
   public readonly firstTokenMilliseconds = new Sample();
-  /** Number of tokens by the time since the token before, in whole milliseconds. */
+  /** Number of tokens for each time since the previous token, rounded to milliseconds. */
   public readonly interTokenCounts = new Map<number, number>();
   /** Prompt tokens of the calls that succeeded. */
   public promptTokens = 0;
@@ -59,7 +59,7 @@
   /** @param isWithinRate whether a workspace is within its rate, so that its service is measured */
   public constructor(public readonly isWithinRate: (workspace: WorkspaceName) => boolean) {}
 
-  /** Counts tokens by the time since the token before each of them. */
+  /** Adds a number of tokens that each came a given time after the previous one. */
   public addTokens(count: number, milliseconds: number): void {
     const rounded = Math.round(milliseconds);
     this.interTokenCounts.set(rounded, (this.interTokenCounts.get(rounded) ?? 0) + count);
--- a/packages/stand-ins/src/experiments/policy/fleet/programRun.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/programRun.ts
@@ -9,7 +9,7 @@
 
 import { SYSTEM_PROMPT_TOKENS } from '../workload/generateWorkload.js';
 
-/** Answer length assumed in the estimate of a call, in tokens. */
+/** Output length assumed in the estimate of a call, in tokens. */
 const EXPECTED_OUTPUT_TOKENS = 150;
 
 interface TurnChain {
@@ -76,15 +76,15 @@
     const historyTokens = chain.prefixes.at(-1)?.tokens ?? 0;
     const promptTokens = historyTokens + turn.inputTokens;
     const promptPrefix = { digest: `${name}?` as PrefixDigest, tokens: promptTokens };
-    const answeredPrefix = {
+    const prefixWithOutput = {
       digest: `${name}!` as PrefixDigest,
       tokens: promptTokens + turn.outputTokens,
     };
     const prefixes = [...chain.prefixes, promptPrefix];
-    chain.prefixes = [...prefixes, answeredPrefix];
+    chain.prefixes = [...prefixes, prefixWithOutput];
     home.submit({
       ...this.createCommonFields(name, events.now),
-      answeredPrefix,
+      prefixWithOutput: prefixWithOutput,
       estimatedTokens: callCost(turn.inputTokens, EXPECTED_OUTPUT_TOKENS),
       onDone,
       outputTokens: turn.outputTokens,
@@ -108,7 +108,7 @@
       case 'service':
         home.submit({
           ...this.createCommonFields(name, events.now),
-          answeredPrefix: undefined,
+          prefixWithOutput: undefined,
           estimatedTokens: 1,
           onDone,
           outputTokens: 0,
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedCall.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedCall.ts
@@ -4,8 +4,8 @@
 export interface SimulatedCall extends ScheduledItem {
   readonly service: 'model' | 'plain';
   readonly outputTokens: number;
-  /** Prefix of prompt and answer together, with which the prompt of the next turn starts. */
-  readonly answeredPrefix: PromptPrefix | undefined;
+  /** Prefix that consists of prompt and output; the prompt of the next turn starts with it. */
+  readonly prefixWithOutput: PromptPrefix | undefined;
   /** Processing time of the call at a plain service, in milliseconds. */
   readonly serviceMilliseconds: number;
   readonly prefixes: PrefixChain;
@@ -25,7 +25,7 @@
   submit(call: SimulatedCall, priority: number, callbacks: UpstreamCallbacks): void;
   /** Number of calls in progress and of calls waiting. */
   readonly load: { readonly running: number; readonly waiting: number };
-  /** Crashes the replica: an engine fails its calls, and all later calls to any replica fail. */
+  /** Crashes the replica: later calls to it fail; an engine also fails the calls that it has. */
   crash(): void;
   /** Removes the cached prefixes of a program. */
   release(program: string): void;
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedEngine.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedEngine.ts
@@ -132,8 +132,8 @@
       this.running = this.running.filter(entry => entry.remainingOutputTokens > 0);
     }
     for (const { call, callbacks, computedTokens } of finished) {
-      const answeredPrefixes = call.answeredPrefix === undefined ? [] : [call.answeredPrefix];
-      this.prefixCache.store(call.program ?? '', [...call.prefixes, ...answeredPrefixes]);
+      const outputPrefixes = call.prefixWithOutput === undefined ? [] : [call.prefixWithOutput];
+      this.prefixCache.store(call.program ?? '', [...call.prefixes, ...outputPrefixes]);
       callbacks.onDone(computedTokens);
     }
     this.step();
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedFleet.ts
@@ -64,8 +64,8 @@
     this.random = new RandomSource(options.seed);
     this.measurements = new Measurements(options.isWithinRate);
     this.addReplicas();
-    this.instances = Array.from({ length: options.deployment.instances }, (_, number) =>
-      this.createInstance(number),
+    this.instances = Array.from({ length: options.deployment.instances }, (_, index) =>
+      this.createInstance(index),
     );
     this.updateReplicaLists();
     this.every(REPORT_INTERVAL_MILLISECONDS, () => {
@@ -123,8 +123,8 @@
 
   private addReplicas(): void {
     const { modelReplicas, plainReplicas } = this.options.deployment;
-    for (let number = 0; number < modelReplicas; number++) {
-      const id = `model-${number}` as UpstreamId;
+    for (let index = 0; index < modelReplicas; index++) {
+      const id = `model-${index}` as UpstreamId;
       const upstream = new SimulatedEngine(this.events, engineOptions, {
         onEvicted: digest => {
           this.evictions.push({ digest, replica: id });
@@ -133,26 +133,26 @@
           this.measurements.addTokens(count, milliseconds);
         },
       });
-      this.replicas.set(id, { id, service: 'model', upstream, zone: this.zoneOf(number) });
+      this.replicas.set(id, { id, service: 'model', upstream, zone: this.zoneOf(index) });
     }
-    for (let number = 0; number < plainReplicas; number++) {
-      const id = `plain-${number}` as UpstreamId;
+    for (let index = 0; index < plainReplicas; index++) {
+      const id = `plain-${index}` as UpstreamId;
       const upstream = new SimulatedService(this.events, WORKERS_PER_PLAIN_REPLICA);
-      this.replicas.set(id, { id, service: 'plain', upstream, zone: this.zoneOf(number) });
+      this.replicas.set(id, { id, service: 'plain', upstream, zone: this.zoneOf(index) });
     }
   }
 
-  private zoneOf(number: number): PlacedReplica['zone'] {
+  private zoneOf(index: number): PlacedReplica['zone'] {
     const { zones } = this.options.deployment;
-    return zones[number % zones.length] ?? ('' as PlacedReplica['zone']);
+    return zones[index % zones.length] ?? ('' as PlacedReplica['zone']);
   }
 
-  private createInstance(number: number): SimulatedInstance {
+  private createInstance(index: number): SimulatedInstance {
     const { deployment, policy } = this.options;
-    const zone = this.zoneOf(number);
+    const zone = this.zoneOf(index);
     const createServiceScheduler = (slotsPerReplica: number): ReturnType<typeof createScheduler> =>
       createScheduler(policy, {
-        instanceIndex: number,
+        instanceIndex: index,
         random: this.random,
         slotsPerReplica,
         window: {
@@ -171,7 +171,7 @@
     });
     return new SimulatedInstance({
       events: this.events,
-      id: `instance-${number}` as IncarnationId,
+      id: `instance-${index}` as IncarnationId,
       measurements: this.measurements,
       replicas: this.replicas,
       retryBudget: policy === 'naive' ? undefined : retryBudget,
--- a/packages/stand-ins/src/experiments/policy/fleet/simulatedPrefixCache.ts
+++ b/packages/stand-ins/src/experiments/policy/fleet/simulatedPrefixCache.ts
@@ -20,7 +20,7 @@
     private readonly onEvicted: (digest: PrefixDigest) => void,
   ) {}
 
-  /** Returns the tokens of the longest cached prefix of a chain and marks it as used. */
+  /** Returns the number of tokens in the longest cached prefix of a chain and marks it as used. */
   public match(chain: PrefixChain): number {
     let tokens = 0;
     let matchedCount = 0;
--- a/packages/stand-ins/src/experiments/policy/naive/naiveScheduler.ts
+++ b/packages/stand-ins/src/experiments/policy/naive/naiveScheduler.ts
@@ -13,7 +13,7 @@
   private replicas: readonly ReplicaDescription[] = [];
   private nextReplica: number;
 
-  /** @param firstReplica index of the first replica, so that instances do not go in step */
+  /** @param firstReplica index of the first replica; differs between instances to spread calls */
   public constructor(firstReplica: number) {
     this.nextReplica = firstReplica;
   }
--- a/packages/stand-ins/src/experiments/policy/policies.ts
+++ b/packages/stand-ins/src/experiments/policy/policies.ts
@@ -57,10 +57,10 @@
 /** Name of one policy. */
 export type PolicyName = (typeof policyNames)[number];
 
-const MAX_ITEMS = 20_000;
-const MAX_ITEMS_PER_WORKSPACE = 10_000;
+const MAXIMUM_ITEMS = 20_000;
+const MAXIMUM_ITEMS_PER_WORKSPACE = 10_000;
 const BELOW_SHARE_OVERFLOW = 2;
-const MAX_PREFIXES = 50_000;
+const MAXIMUM_PREFIXES = 50_000;
 const SUSPICION_MILLISECONDS = 5_000;
 const PREFILL_MILLISECONDS_PER_TOKEN = 0.17;
 const BATCH_DELAY_MILLISECONDS_PER_TOKEN = 0.06;
@@ -150,8 +150,8 @@
 
 function createFairQueue(order: ProgramOrder): WorkQueue<SimulatedCall> {
   return new FairWorkQueue({
-    maximumItems: MAX_ITEMS,
-    maximumItemsPerWorkspace: MAX_ITEMS_PER_WORKSPACE,
+    maximumItems: MAXIMUM_ITEMS,
+    maximumItemsPerWorkspace: MAXIMUM_ITEMS_PER_WORKSPACE,
     order,
     weightOf: () => 1,
   });
@@ -161,7 +161,7 @@
   return new CostReplicaChooser({
     batchDelayMillisecondsPerToken: BATCH_DELAY_MILLISECONDS_PER_TOKEN,
     callMilliseconds: CALL_MILLISECONDS,
-    maximumPrefixes: MAX_PREFIXES,
+    maximumPrefixes: MAXIMUM_PREFIXES,
     prefillMillisecondsPerToken: PREFILL_MILLISECONDS_PER_TOKEN,
     random: () => random.uniform(),
     sharingMilliseconds: SHARING_MILLISECONDS,
--- a/packages/stand-ins/src/experiments/policy/runExperiment.ts
+++ b/packages/stand-ins/src/experiments/policy/runExperiment.ts
@@ -27,7 +27,7 @@
   readonly programP50: number;
   readonly programP95: number;
   readonly programP99: number;
-  /** Prompt tokens computed beyond the first time, as a share of all prompt tokens. */
+  /** Prompt tokens that were computed again, as a share of all prompt tokens. */
   readonly recomputedShare: number;
   /** Ratio of the prompt tokens computed to those needed with one unbounded cache. */
   readonly computedRatio: number;
--- a/packages/stand-ins/src/experiments/policy/scenarios.ts
+++ b/packages/stand-ins/src/experiments/policy/scenarios.ts
@@ -24,7 +24,7 @@
   readonly arrivalMilliseconds: number;
   /** Time before which arriving programs are not measured, in milliseconds. */
   readonly warmUpMilliseconds: number;
-  /** Time at which the run ends at the latest, in milliseconds. */
+  /** Latest time at which the run ends, in milliseconds. */
   readonly endMilliseconds: number;
 }
 
--- a/packages/stand-ins/src/experiments/policy/workload/generateWorkload.ts
+++ b/packages/stand-ins/src/experiments/policy/workload/generateWorkload.ts
@@ -20,25 +20,25 @@
   readonly durationMilliseconds: number;
 }
 
-const MAX_TURNS = 57;
+const MAXIMUM_TURNS = 57;
 const TURNS_EXPONENT = 0.7;
-const MAX_HISTORY_TOKENS = 110_000;
+const MAXIMUM_HISTORY_TOKENS = 110_000;
 const INPUT_MEDIAN_TOKENS = 600;
 const INPUT_DEVIATION = 1;
-const MAX_INPUT_TOKENS = 16_000;
+const MAXIMUM_INPUT_TOKENS = 16_000;
 const OUTPUT_MEDIAN_TOKENS = 120;
 const OUTPUT_DEVIATION = 0.7;
-const MAX_OUTPUT_TOKENS = 800;
+const MAXIMUM_OUTPUT_TOKENS = 800;
 const PAUSE_MEDIAN_MILLISECONDS = 1_500;
 const PAUSE_DEVIATION = 1.2;
-const MAX_PAUSE_MILLISECONDS = 120_000;
+const MAXIMUM_PAUSE_MILLISECONDS = 120_000;
 const SERVICE_MEDIAN_MILLISECONDS = 250;
 const SERVICE_DEVIATION = 0.8;
-const MAX_SERVICE_MILLISECONDS = 5_000;
+const MAXIMUM_SERVICE_MILLISECONDS = 5_000;
 const SERVICE_SHARE = 0.4;
 const SUB_AGENT_SHARE = 0.05;
-const MAX_SUB_AGENTS = 3;
-const MAX_SUB_AGENT_TURNS = 4;
+const MAXIMUM_SUB_AGENTS = 3;
+const MAXIMUM_SUB_AGENT_TURNS = 4;
 
 /** Length of the system prompt that all programs of a workspace share, in tokens. */
 export const SYSTEM_PROMPT_TOKENS = 1_500;
@@ -64,13 +64,13 @@
  * const turns = drawTurns(new RandomSource(1));
  */
 export function drawTurns(random: RandomSource): readonly Turn[] {
-  const turnCount = Math.floor(random.boundedPareto(TURNS_EXPONENT, 1, MAX_TURNS + 1));
+  const turnCount = Math.floor(random.boundedPareto(TURNS_EXPONENT, 1, MAXIMUM_TURNS + 1));
   const turns: Turn[] = [];
   let historyTokens = SYSTEM_PROMPT_TOKENS;
-  while (turns.length < Math.min(MAX_TURNS, turnCount)) {
+  while (turns.length < Math.min(MAXIMUM_TURNS, turnCount)) {
     const turn = drawTurn(random, drawSubAgents(random));
     historyTokens += turn.inputTokens + turn.outputTokens;
-    if (historyTokens > MAX_HISTORY_TOKENS) {
+    if (historyTokens > MAXIMUM_HISTORY_TOKENS) {
       break;
     }
     turns.push(turn);
@@ -99,8 +99,8 @@
   const input = random.logNormal(INPUT_MEDIAN_TOKENS, INPUT_DEVIATION);
   const output = random.logNormal(OUTPUT_MEDIAN_TOKENS, OUTPUT_DEVIATION);
   return {
-    inputTokens: Math.ceil(Math.min(MAX_INPUT_TOKENS, input)),
-    outputTokens: Math.ceil(Math.min(MAX_OUTPUT_TOKENS, output)),
+    inputTokens: Math.ceil(Math.min(MAXIMUM_INPUT_TOKENS, input)),
+    outputTokens: Math.ceil(Math.min(MAXIMUM_OUTPUT_TOKENS, output)),
     subAgents,
     tool: drawTool(random),
   };
@@ -109,19 +109,22 @@
 function drawTool(random: RandomSource): ToolUse {
   if (random.uniform() < SERVICE_SHARE) {
     const drawnMilliseconds = random.logNormal(SERVICE_MEDIAN_MILLISECONDS, SERVICE_DEVIATION);
-    return { kind: 'service', milliseconds: Math.min(MAX_SERVICE_MILLISECONDS, drawnMilliseconds) };
+    return {
+      kind: 'service',
+      milliseconds: Math.min(MAXIMUM_SERVICE_MILLISECONDS, drawnMilliseconds),
+    };
   }
   const drawnMilliseconds = random.logNormal(PAUSE_MEDIAN_MILLISECONDS, PAUSE_DEVIATION);
-  return { kind: 'pause', milliseconds: Math.min(MAX_PAUSE_MILLISECONDS, drawnMilliseconds) };
+  return { kind: 'pause', milliseconds: Math.min(MAXIMUM_PAUSE_MILLISECONDS, drawnMilliseconds) };
 }
 
 function drawSubAgents(random: RandomSource): readonly SubAgent[] {
   if (random.uniform() >= SUB_AGENT_SHARE) {
     return [];
   }
-  return Array.from({ length: 1 + random.below(MAX_SUB_AGENTS) }, () => ({
+  return Array.from({ length: 1 + random.below(MAXIMUM_SUB_AGENTS) }, () => ({
     inheritsHistory: random.uniform() < 0.5,
-    turns: Array.from({ length: 1 + random.below(MAX_SUB_AGENT_TURNS) }, () =>
+    turns: Array.from({ length: 1 + random.below(MAXIMUM_SUB_AGENT_TURNS) }, () =>
       drawTurn(random, []),
     ),
   }));
