--- a/packages/stand-ins/src/demonstration/main.ts
+++ b/packages/stand-ins/src/demonstration/main.ts
@@ -1,14 +1,14 @@
 import { hashKey } from '@zincring/core';
 
-import type { CallAnswer } from '../launch/callerClient.js';
+import type { CallResponse } from '../launch/callerClient.js';
 
 import { CallerClient } from '../launch/callerClient.js';
 import { controlStandIn, Fleet } from '../launch/fleet.js';
 import { waitUntil } from '../launch/waitUntil.js';
 
 const KEY = 'demonstration-key';
-const PROGRAMS = 4;
-const ANSWER_TOKENS = 8;
+const PROGRAM_COUNT = 4;
+const RESPONSE_TOKENS = 8;
 
 const rules = `
 workspace utility rate=200 burst=400 # dana: the pilot of the utility
@@ -50,11 +50,11 @@
   }
 
   /**
-   * Runs programs concurrently: each asks a question, has a sub-agent ask one, then asks a second.
+   * Runs programs concurrently: each asks a question, lets a sub-agent ask one, and asks a second.
    */
   private async traceComplaints(): Promise<readonly string[]> {
     const programs = await Promise.all(
-      Array.from({ length: PROGRAMS }, async (_, index) => {
+      Array.from({ length: PROGRAM_COUNT }, async (_, index) => {
         const startedAt = performance.now();
         const program = await this.open();
         await this.ask(program, { call: 'read', turn: 1 });
@@ -91,14 +91,14 @@
       service: 'ticket-app',
       turn: 4,
     };
-    const answers = [await this.send(program, order), await this.send(program, order)];
+    const responses = [await this.send(program, order), await this.send(program, order)];
     const service = this.fleet.upstreams.find(each => each.service === 'ticket-app');
     const recorded = (await controlStandIn(service?.standIn.address ?? '', 'executions')) as {
       readonly executions: readonly unknown[];
     };
-    const areAnswersEqual = answers[0]?.text === answers[1]?.text;
+    const areResponsesEqual = responses[0]?.text === responses[1]?.text;
     print(
-      `a work order sent twice ran ${recorded.executions.length} time; the answers are ${areAnswersEqual ? 'the same' : 'different'}`,
+      `a work order sent twice ran ${recorded.executions.length} time; the responses are ${areResponsesEqual ? 'the same' : 'different'}`,
     );
   }
 
@@ -133,20 +133,18 @@
     await this.send(program, { ...call, input: `question ${call.call}`, service: 'minutes-llm' });
   }
 
-  private async send(program: string, call: DemonstrationCall): Promise<CallAnswer> {
-    const answer = await this.client.call(this.nextAddress(), program, {
+  private async send(program: string, call: DemonstrationCall): Promise<CallResponse> {
+    const response = await this.client.call(this.nextAddress(), program, {
       ...call,
-      ...(call.service === 'minutes-llm' ? { maxTokens: ANSWER_TOKENS } : {}),
+      ...(call.service === 'minutes-llm' ? { maxTokens: RESPONSE_TOKENS } : {}),
     });
-    if (answer.closed === undefined) {
-      throw new Error(`${call.call}: ${JSON.stringify(answer.error)}`);
+    if (response.closed === undefined) {
+      throw new Error(`${call.call}: ${JSON.stringify(response.error)}`);
     }
-    return answer;
+    return response;
   }
 
-  /**
-   * Returns the callers' addresses of the instances in round-robin order, as a load balancer does.
-   */
+  /** Returns the callers' address of the next instance, in round-robin order. */
   private nextAddress(): string {
     const { instances } = this.fleet;
     return instances[this.nextInstance++ % instances.length]?.callerAddress ?? '';
--- a/packages/stand-ins/src/engine/engineModel.ts
+++ b/packages/stand-ins/src/engine/engineModel.ts
@@ -6,7 +6,7 @@
 export interface EngineOptions {
   /** Maximum number of requests in the batch. */
   readonly slots: number;
-  /** Prompt tokens that one step computes for all requests in the batch together. */
+  /** Maximum number of prompt tokens that one step computes, over all requests in the batch. */
   readonly prefillTokensPerStep: number;
   /** Capacity of the prefix cache, in tokens. */
   readonly cacheTokens: number;
--- a/packages/stand-ins/src/engine/engineServer.ts
+++ b/packages/stand-ins/src/engine/engineServer.ts
@@ -15,9 +15,9 @@
   readonly stepMilliseconds: number;
   /** Interval at which load reports and cache events are published, in milliseconds. */
   readonly reportLagMilliseconds: number;
-  /** Omits every n-th cache event from the published ones; 0 omits none. */
+  /** Number n such that every n-th cache event is not published; 0 publishes all. */
   readonly cacheEventGap: number;
-  /** Whether release requests with an old fencing number are refused. */
+  /** Whether release requests with an outdated fencing token are refused. */
   readonly checksFencing: boolean;
   /** Called when a prompt contains {@link CRASH_MARKER}; a stand-in process exits here. */
   readonly onCrash: () => void;
@@ -30,7 +30,7 @@
 interface EngineBehaviour {
   /** Number of next release requests that are lost without effect. */
   readonly lostOrders: number;
-  /** Whether requests to generate text are never answered. */
+  /** Whether requests to generate text get no response. */
   readonly isHanging: boolean;
 }
 
@@ -48,7 +48,7 @@
 /** Serves a model engine over HTTP; generated tokens are streamed as newline-delimited JSON. */
 export class EngineServer {
   private readonly engine: EngineModel;
-  private readonly highestFences = new Map<string, number>();
+  private readonly highestFencingTokens = new Map<string, number>();
   private readonly receivedRequests: GenerateRequest[] = [];
   private readonly receivedHeaders: StandInRequest['headers'][] = [];
   private behaviour: EngineBehaviour = { isHanging: false, lostOrders: 0 };
@@ -125,11 +125,11 @@
       response.destroy();
       return true;
     }
-    const highest = this.highestFences.get(releaseRequest.program) ?? 0;
+    const highest = this.highestFencingTokens.get(releaseRequest.program) ?? 0;
     if (this.options.checksFencing && releaseRequest.fence < highest) {
       return sendJson(response, 409, { highest });
     }
-    this.highestFences.set(releaseRequest.program, Math.max(highest, releaseRequest.fence));
+    this.highestFencingTokens.set(releaseRequest.program, Math.max(highest, releaseRequest.fence));
     this.engine.release(releaseRequest.program);
     return sendJson(response, 200, {});
   }
--- a/packages/stand-ins/src/launch/callerClient.ts
+++ b/packages/stand-ins/src/launch/callerClient.ts
@@ -1,7 +1,7 @@
 import { waitUntil } from './waitUntil.js';
 
-/** Answer to a call, with the text of its event stream concatenated. */
-export interface CallAnswer {
+/** Response to a call, with the text of its event stream concatenated. */
+export interface CallResponse {
   readonly status: number;
   readonly text: string;
   /** Data of the `closed` event; `undefined` if the stream ended without one. */
@@ -11,7 +11,7 @@
 }
 
 /** Response with a JSON body. */
-export interface JsonAnswer {
+export interface JsonResponse {
   readonly status: number;
   readonly body: Readonly<Record<string, unknown>>;
 }
@@ -20,8 +20,8 @@
 export class CallerClient {
   public constructor(private readonly key: string) {}
 
-  /** Opens a program; repeating the request with the same name opens no second one. */
-  public async openProgram(address: string, policy: string, name?: string): Promise<JsonAnswer> {
+  /** Opens a program; a repeated request with the same name does not open a second one. */
+  public async openProgram(address: string, policy: string, name?: string): Promise<JsonResponse> {
     const body = { policy, ...(name === undefined ? {} : { program: name }) };
     return await this.send(address, 'POST', '/v1/programs', body);
   }
@@ -38,17 +38,17 @@
   }
 
   /** Reads the state of a program. */
-  public async describeProgram(address: string, program: string): Promise<JsonAnswer> {
+  public async describeProgram(address: string, program: string): Promise<JsonResponse> {
     return await this.send(address, 'GET', `/v1/programs/${program}`);
   }
 
   /** Ends a program. */
-  public async endProgram(address: string, program: string): Promise<JsonAnswer> {
+  public async endProgram(address: string, program: string): Promise<JsonResponse> {
     return await this.send(address, 'DELETE', `/v1/programs/${program}`);
   }
 
-  /** Makes a call and reads its complete answer. */
-  public async call(address: string, program: string, body: unknown): Promise<CallAnswer> {
+  /** Makes a call and reads the complete response. */
+  public async call(address: string, program: string, body: unknown): Promise<CallResponse> {
     const response = await fetch(`http://${address}/v1/programs/${program}/calls`, {
       body: JSON.stringify(body),
       headers: this.headers(),
@@ -56,7 +56,7 @@
     });
     const text = await response.text();
     if (!response.ok) {
-      const error = JSON.parse(text) as CallAnswer['error'];
+      const error = JSON.parse(text) as CallResponse['error'];
       return { closed: undefined, error, status: response.status, text: '' };
     }
     return { status: response.status, ...parseEvents(text) };
@@ -67,13 +67,13 @@
     method: string,
     path: string,
     body?: unknown,
-  ): Promise<JsonAnswer> {
+  ): Promise<JsonResponse> {
     const response = await fetch(`http://${address}${path}`, {
       headers: this.headers(),
       method,
       ...(body === undefined ? {} : { body: JSON.stringify(body) }),
     });
-    return { body: (await response.json()) as JsonAnswer['body'], status: response.status };
+    return { body: (await response.json()) as JsonResponse['body'], status: response.status };
   }
 
   private headers(): Readonly<Record<string, string>> {
@@ -81,10 +81,10 @@
   }
 }
 
-function parseEvents(stream: string): Omit<CallAnswer, 'status'> {
+function parseEvents(stream: string): Omit<CallResponse, 'status'> {
   let text = '';
-  let closed: CallAnswer['closed'];
-  let error: CallAnswer['error'];
+  let closed: CallResponse['closed'];
+  let error: CallResponse['error'];
   for (const block of stream.split('\n\n')) {
     const match = /^event: (\w+)\ndata: (.*)$/s.exec(block);
     if (match === null) {
--- a/packages/stand-ins/src/launch/steadyLoad.ts
+++ b/packages/stand-ins/src/launch/steadyLoad.ts
@@ -1,4 +1,4 @@
-import type { CallAnswer, CallerClient } from './callerClient.js';
+import type { CallResponse, CallerClient } from './callerClient.js';
 
 /** Options of a {@link SteadyLoad}. */
 export interface SteadyLoadOptions {
@@ -13,20 +13,20 @@
   readonly maxTokens: number;
 }
 
-/** A program whose turns were all answered. */
+/** A program all of whose turns got a complete response. */
 export interface FinishedProgram {
   readonly program: string;
-  readonly answers: readonly string[];
+  readonly responseTexts: readonly string[];
 }
 
 /**
  * Runs programs in several concurrent workers, one after the other in each. A worker stops at its
- * first incomplete answer, which is recorded as a failure.
+ * first incomplete response, which is recorded as a failure.
  */
 export class SteadyLoad {
   public readonly failures: string[] = [];
   public readonly finished: FinishedProgram[] = [];
-  /** Identifiers of the calls whose answers were complete but not reported as durable. */
+  /** Identifiers of the calls whose complete responses did not report the turn as durable. */
   public readonly nonDurableCalls: string[] = [];
   /** Identifiers of the orders for which a response arrived. */
   public readonly answeredOrders: string[] = [];
@@ -68,25 +68,25 @@
       throw new Error(`open: ${opened.status} ${JSON.stringify(opened.body)}`);
     }
     const program = String(opened.body['program']);
-    const answers: string[] = [];
+    const responseTexts: string[] = [];
     for (let turn = 1; turn <= turns; turn++) {
-      const answer = await this.runTurn(name, program, turn);
-      if (answer.closed?.['turn'] !== turn) {
-        throw new Error(`turn ${turn}: ${JSON.stringify(answer)}`);
+      const response = await this.runTurn(name, program, turn);
+      if (response.closed?.['turn'] !== turn) {
+        throw new Error(`turn ${turn}: ${JSON.stringify(response)}`);
       }
-      if (answer.closed['durable'] !== true) {
+      if (response.closed['durable'] !== true) {
         this.nonDurableCalls.push(`${name}-${turn}`);
       }
-      answers.push(answer.text);
+      responseTexts.push(response.text);
     }
-    this.finished.push({ answers, program });
+    this.finished.push({ responseTexts, program });
   }
 
-  private async runTurn(name: string, program: string, turn: number): Promise<CallAnswer> {
+  private async runTurn(name: string, program: string, turn: number): Promise<CallResponse> {
     const { client, maxTokens, pickAddress } = this.options;
     const call = `${name}-${turn}`;
     const isOrder = turn % 2 === 0;
-    const answer = await client.call(pickAddress(), program, {
+    const response = await client.call(pickAddress(), program, {
       call,
       input: `turn ${turn} of ${name}`,
       turn,
@@ -97,6 +97,6 @@
     if (isOrder) {
       this.answeredOrders.push(call);
     }
-    return answer;
+    return response;
   }
 }
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -31,7 +31,7 @@
     },
     'checks-fencing': {
       default: true,
-      describe: 'engine: refuse release requests with an old fencing number',
+      describe: 'engine: refuse release requests with an outdated fencing token',
       type: 'boolean',
     },
     'lag-milliseconds': {
--- a/packages/stand-ins/src/measurements/latency.ts
+++ b/packages/stand-ins/src/measurements/latency.ts
@@ -54,15 +54,15 @@
 
   public async send(): Promise<void> {
     this.turn++;
-    const answer = await client.call(this.address, this.program, {
+    const response = await client.call(this.address, this.program, {
       call: `call-${this.turn}`,
       input: 'q',
       path: '/tickets',
       service: 'ticket-app',
       turn: this.turn,
     });
-    if (answer.closed === undefined) {
-      throw new Error(`turn ${this.turn}: ${JSON.stringify(answer.error)}`);
+    if (response.closed === undefined) {
+      throw new Error(`turn ${this.turn}: ${JSON.stringify(response.error)}`);
     }
   }
 }
--- a/packages/stand-ins/src/platform/faultSwitch.ts
+++ b/packages/stand-ins/src/platform/faultSwitch.ts
@@ -6,9 +6,9 @@
 export interface Faults {
   /** Delay before every operation, in milliseconds. */
   readonly latencyMilliseconds: number;
-  /** With `refuse` every operation fails without effect; with `hang` none is ever answered. */
+  /** With `refuse` every operation fails without effect; with `hang` none gets a response. */
   readonly outage: 'hang' | 'none' | 'refuse';
-  /** Number of next writes that take effect but whose answer is lost. */
+  /** Number of next writes that take effect but whose response is lost. */
   readonly lostAnswers: number;
   /** Number of next operations that fail without effect. */
   readonly errors: number;
@@ -23,12 +23,12 @@
 };
 
 /**
- * Outcome of one operation: `answer-lost` takes effect without an answer, `hung` is never answered,
- * and `refused` fails without effect.
+ * Outcome of one operation: `answer-lost` takes effect but its response is lost, `hung` gets no
+ * response, and `refused` fails without effect.
  */
 export type ScriptedOutcome = 'answered' | 'answer-lost' | 'hung' | 'refused';
 
-/** Holds the faults that are switched on and decides the outcome of each operation by them. */
+/** Stores the faults that are switched on and decides the outcome of each operation. */
 export class FaultSwitch {
   private faults: Faults = noFaults;
 
--- a/packages/stand-ins/src/platform/memoryPlatform.ts
+++ b/packages/stand-ins/src/platform/memoryPlatform.ts
@@ -33,7 +33,7 @@
       return Ok(operation());
     case 'answer-lost':
       operation();
-      return Err(new PlatformError('outcome-unknown', 'the answer was lost'));
+      return Err(new PlatformError('outcome-unknown', 'the response was lost'));
     case 'hung':
       return await new Promise(() => undefined);
     case 'refused':
@@ -99,8 +99,7 @@
 }
 
 /**
- * A list of instances for focused tests. Tests set its entries directly, and so decide how far it
- * lags behind.
+ * A list of instances for focused tests. Tests set its entries directly, so they control its lag.
  */
 export class MemoryInstanceDirectory implements InstanceDirectory {
   public entries: readonly DirectoryEntry[] = [];
--- a/packages/stand-ins/src/platform/platformServer.ts
+++ b/packages/stand-ins/src/platform/platformServer.ts
@@ -68,7 +68,7 @@
     }
   }
 
-  private executeOperation(request: StandInRequest): PlatformAnswer | undefined {
+  private executeOperation(request: StandInRequest): PlatformResponse | undefined {
     switch (request.url.pathname) {
       case '/table/read':
         return json({ rows: this.table.read(readJson<{ keys: readonly string[] }>(request).keys) });
@@ -89,7 +89,7 @@
     }
   }
 
-  private listObjects(query: URLSearchParams): PlatformAnswer {
+  private listObjects(query: URLSearchParams): PlatformResponse {
     const after = query.get('after');
     const page = this.objects.list({
       limit: Number(query.get('limit')),
@@ -99,7 +99,7 @@
     return json({ names: page.names, next: page.next ?? null });
   }
 
-  private executeObjectOperation(request: StandInRequest): PlatformAnswer | undefined {
+  private executeObjectOperation(request: StandInRequest): PlatformResponse | undefined {
     const name = decodeURIComponent(request.url.pathname.slice('/objects/'.length));
     switch (request.method) {
       case 'PUT': {
@@ -119,21 +119,21 @@
   }
 }
 
-interface PlatformAnswer {
+interface PlatformResponse {
   readonly status: number;
   readonly body: string | Uint8Array;
 }
 
-function json(body: unknown): PlatformAnswer {
+function json(body: unknown): PlatformResponse {
   return { body: JSON.stringify(body), status: 200 };
 }
 
-function reply(response: ServerResponse, answer: PlatformAnswer | undefined): boolean {
-  if (answer === undefined) {
+function reply(response: ServerResponse, platformResponse: PlatformResponse | undefined): boolean {
+  if (platformResponse === undefined) {
     return false;
   }
-  response.writeHead(answer.status);
-  response.end(answer.body);
+  response.writeHead(platformResponse.status);
+  response.end(platformResponse.body);
   return true;
 }
 
--- a/packages/stand-ins/src/service/plainServiceServer.ts
+++ b/packages/stand-ins/src/service/plainServiceServer.ts
@@ -16,7 +16,7 @@
   readonly lostAnswers: number;
   /** Number of next requests that fail without effect. */
   readonly errors: number;
-  /** Whether requests are neither executed nor answered. */
+  /** Whether requests are not executed and get no response. */
   readonly isHanging: boolean;
 }
 
--- a/packages/stand-ins/src/soak/faultInjector.ts
+++ b/packages/stand-ins/src/soak/faultInjector.ts
@@ -41,8 +41,8 @@
 const MAXIMUM_PAUSE_MILLISECONDS = 4_000;
 const MAXIMUM_FREEZE_MILLISECONDS = 12_000;
 const MAXIMUM_OUTAGE_MILLISECONDS = 10_000;
-const MAXIMUM_LOST_ANSWERS = 5;
-/** Covers the longest call, the longest outage and the handover together. */
+const MAXIMUM_LOST_MESSAGES = 5;
+/** Exceeds the sum of the longest call, the longest outage and the handover. */
 const PLANNED_STOP_TIMEOUT_MILLISECONDS = 60_000;
 
 /** Injects random faults, at most two at a time, until the run is over. */
@@ -104,11 +104,13 @@
       case 'platform-lost-answers':
         this.options.report(fault, '');
         await fleet.controlPlatform('faults', {
-          lostAnswers: 1 + random.below(MAXIMUM_LOST_ANSWERS),
+          lostAnswers: 1 + random.below(MAXIMUM_LOST_MESSAGES),
         });
         return;
       case 'engine-lost-orders':
-        await this.setUpstreamBehaviour(fault, 'minutes-llm', { lostOrders: MAXIMUM_LOST_ANSWERS });
+        await this.setUpstreamBehaviour(fault, 'minutes-llm', {
+          lostOrders: MAXIMUM_LOST_MESSAGES,
+        });
         return;
       case 'service-lost-answers':
         await this.setUpstreamBehaviour(fault, 'ticket-app', { lostAnswers: 1 });
--- a/packages/stand-ins/src/soak/invariants.ts
+++ b/packages/stand-ins/src/soak/invariants.ts
@@ -62,7 +62,7 @@
       const detail = `${driven.program} after turn ${turn}`;
       violations.push({
         detail,
-        invariant: 'the history matches the answers that its caller received',
+        invariant: 'the history matches the responses that its caller received',
       });
     }
   }
@@ -77,9 +77,9 @@
   let body: Readonly<Record<string, unknown>> = {};
   const address = options.fleet.instances[0]?.callerAddress ?? '';
   await waitUntil(async () => {
-    const answer = await client.describeProgram(address, program);
-    body = answer.body;
-    return answer.status === 200;
+    const response = await client.describeProgram(address, program);
+    body = response.body;
+    return response.status === 200;
   }).catch(() => undefined);
   return body;
 }
--- a/packages/stand-ins/src/soak/programDriver.ts
+++ b/packages/stand-ins/src/soak/programDriver.ts
@@ -1,25 +1,25 @@
 import type { Fleet } from '../launch/fleet.js';
 import type { RandomSource } from '../util/randomSource.js';
 
-import { CallerClient, type CallAnswer } from '../launch/callerClient.js';
+import { CallerClient, type CallResponse } from '../launch/callerClient.js';
 
-/** A call, with what its caller knows of it. */
+/** A call, with the state that its caller records. */
 export interface DrivenCall {
   readonly call: string;
   readonly service: string;
   readonly turn: number;
   readonly input: string;
   /**
-   * For each attempt: `ran` of its error, `maybe` without a response, `yes` for a complete answer.
+   * For each attempt: `ran` of its error, `maybe` without a response, `yes` for a complete one.
    */
   readonly ranReports: string[];
-  /** The complete answer; `undefined` until it arrives. */
+  /** Text of the complete response; `undefined` until it arrives. */
   text: string | undefined;
-  /** Whether the answer reported the turn as durable. */
+  /** Whether the response reported the turn as durable. */
   isDurable: boolean;
 }
 
-/** A program, with what its caller knows of it. */
+/** A program, with the calls that its caller has made. */
 export interface DrivenProgram {
   readonly program: string;
   readonly marker: string;
@@ -39,11 +39,11 @@
 
 const PAUSE_AFTER_REFUSAL_MILLISECONDS = 100;
 const CALL_TIMEOUT_SECONDS = 20;
-const ANSWER_TOKENS = 12;
-/** On average, one call in this many goes to the service whose calls have side effects. */
+const RESPONSE_TOKENS = 12;
+/** Average number of calls for each one that goes to the service with side effects. */
 const CALLS_PER_ORDER = 3;
 
-/** Runs one program after the other until the run is over; resends calls that were not answered. */
+/** Runs one program after the other until the run is over; resends calls without a response. */
 export class ProgramDriver {
   public readonly programs: DrivenProgram[] = [];
   private readonly client: CallerClient;
@@ -103,18 +103,21 @@
     }
   }
 
-  /** Sends a call until its answer is complete; returns `false` if it cannot be any more. */
+  /**
+   * Sends a call until its response is complete; returns `false` if an error is final or the run is
+   * over.
+   */
   private async sendUntilAnswered(driven: DrivenProgram, call: DrivenCall): Promise<boolean> {
     while (!this.options.isOver()) {
-      const answer = await this.send(driven, call);
-      if (answer?.closed !== undefined) {
-        call.text = answer.text;
-        call.isDurable = answer.closed['durable'] === true;
+      const response = await this.send(driven, call);
+      if (response?.closed !== undefined) {
+        call.text = response.text;
+        call.isDurable = response.closed['durable'] === true;
         call.ranReports.push('yes');
         return true;
       }
-      const kind = readErrorField(answer, 'kind', 'no-answer');
-      call.ranReports.push(readErrorField(answer, 'ran', 'maybe'));
+      const kind = readErrorField(response, 'kind', 'no-answer');
+      call.ranReports.push(readErrorField(response, 'ran', 'maybe'));
       const isFinal = ['call-outcome-unknown', 'program-not-found', 'turn-conflict'].includes(kind);
       if (isFinal) {
         return false;
@@ -124,12 +127,12 @@
     return false;
   }
 
-  private async send(driven: DrivenProgram, call: DrivenCall): Promise<CallAnswer | undefined> {
+  private async send(driven: DrivenProgram, call: DrivenCall): Promise<CallResponse | undefined> {
     try {
       return await this.client.call(this.randomAddress(), driven.program, {
         call: call.call,
         input: call.input,
-        maxTokens: ANSWER_TOKENS,
+        maxTokens: RESPONSE_TOKENS,
         path: `/orders/${call.call}`,
         service: call.service,
         timeoutSeconds: CALL_TIMEOUT_SECONDS,
@@ -150,7 +153,11 @@
   await new Promise(resolve => setTimeout(resolve, milliseconds));
 }
 
-function readErrorField(answer: CallAnswer | undefined, field: string, fallback: string): string {
-  const value = answer?.error?.[field];
+function readErrorField(
+  response: CallResponse | undefined,
+  field: string,
+  fallback: string,
+): string {
+  const value = response?.error?.[field];
   return typeof value === 'string' ? value : fallback;
 }
--- a/packages/stand-ins/tests/completeAnswers.process.test.ts
+++ b/packages/stand-ins/tests/completeResponses.process.test.ts
@@ -1,7 +1,7 @@
 import { hashKey } from '@zincring/core';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 
-import type { CallAnswer } from '../src/launch/callerClient.js';
+import type { CallResponse } from '../src/launch/callerClient.js';
 import type { FleetInstance } from '../src/launch/fleet.js';
 
 import { CallerClient } from '../src/launch/callerClient.js';
@@ -9,7 +9,7 @@
 
 const KEY = 'whole-answers-key';
 const OTHER_KEY = 'other-workspace-key';
-const TOKENS = 150;
+const RESPONSE_TOKENS = 150;
 
 const rules = `
 workspace utility rate=1000 burst=1000 # dana: the pilot
@@ -20,7 +20,7 @@
 program trace services=minutes-llm tokens=1000000 calls=500 # dana: traces
 `;
 
-describe('answers of instances', () => {
+describe('responses of instances', () => {
   let fleet: Fleet;
   const client = new CallerClient(KEY);
 
@@ -45,18 +45,22 @@
     return await client.openWhenReady(fleet.instances[0]!.callerAddress, 'trace', name);
   }
 
-  async function call(instance: FleetInstance, program: string, turn: number): Promise<CallAnswer> {
+  async function call(
+    instance: FleetInstance,
+    program: string,
+    turn: number,
+  ): Promise<CallResponse> {
     return await client.call(instance.callerAddress, program, {
       call: `call-${turn}`,
       input: `question ${turn}`,
-      maxTokens: TOKENS,
+      maxTokens: RESPONSE_TOKENS,
       service: 'minutes-llm',
       turn,
     });
   }
 
   /**
-   * Checks by the numbers in the stand-in's tokens that each came once, in order, from one prompt.
+   * Checks that the text contains the numbered tokens of one prompt, each once and in order.
    */
   function expectTokensInOrder(text: string): void {
     const tokens = text.split(' ').filter(token => token !== '');
@@ -64,14 +68,14 @@
     expect(tokens).toEqual(tokens.map((_token, index) => `${prompt}-${index}`));
   }
 
-  /** Resends the call until its answer is complete; returns the last answer after 25 s. */
-  async function resendUntilComplete(program: string): Promise<CallAnswer> {
+  /** Resends the call until its response is complete; after 25 s, returns the last response. */
+  async function resendUntilComplete(program: string): Promise<CallResponse> {
     const deadline = performance.now() + 25_000;
     for (;;) {
-      const answer = await call(fleet.instances[1]!, program, 1);
-      if (answer.closed !== undefined || performance.now() > deadline) {
-        expect(answer.error).toBeUndefined();
-        return answer;
+      const response = await call(fleet.instances[1]!, program, 1);
+      if (response.closed !== undefined || performance.now() > deadline) {
+        expect(response.error).toBeUndefined();
+        return response;
       }
       await new Promise(resolve => setTimeout(resolve, 500));
     }
@@ -83,7 +87,7 @@
       const entry = fleet.instances[0]!;
       for (const victim of fleet.instances) {
         const program = await open(`${signal}-${victim.id}`);
-        const answering = call(entry, program, 1).catch(() => undefined);
+        const firstResponse = call(entry, program, 1).catch(() => undefined);
         await new Promise(resolve => setTimeout(resolve, 1_000));
         victim.process.signal(signal);
         const resume = async (): Promise<void> => {
@@ -98,7 +102,7 @@
           await new Promise(resolve => setTimeout(resolve, 4_000));
           await resume();
         }
-        const first = await answering;
+        const first = await firstResponse;
         if (victim !== entry) {
           await resume();
         }
@@ -109,7 +113,7 @@
         await fleet.waitUntilReady();
         const again = await resendUntilComplete(program);
         expectTokensInOrder(again.text);
-        expect(again.text.split(' ')).toHaveLength(TOKENS + 1);
+        expect(again.text.split(' ')).toHaveLength(RESPONSE_TOKENS + 1);
         expect(again.closed).toMatchObject({ turn: 1 });
       }
     },
@@ -119,10 +123,10 @@
     const program = await open('private');
     const other = new CallerClient(OTHER_KEY);
     const { callerAddress } = fleet.instances[1]!;
-    const answers = await Promise.all(
+    const responses = await Promise.all(
       [program, 'no-such-program'].map(async id => other.describeProgram(callerAddress, id)),
     );
-    expect(answers[0]).toEqual(answers[1]);
-    expect(answers[0]?.body).toMatchObject({ kind: 'program-not-found' });
+    expect(responses[0]).toEqual(responses[1]);
+    expect(responses[0]?.body).toMatchObject({ kind: 'program-not-found' });
   });
 });
--- a/packages/stand-ins/tests/endToEnd.process.test.ts
+++ b/packages/stand-ins/tests/endToEnd.process.test.ts
@@ -40,7 +40,7 @@
 
   it('keeps the history of a program while each instance in turn is killed', async () => {
     const program = await open();
-    const answers: string[] = [];
+    const responseTexts: string[] = [];
     for (let turn = 1; turn <= 6; turn++) {
       await fleet.waitUntilReady();
       const instance = fleet.instances[turn % 3]!;
@@ -51,13 +51,13 @@
         service: 'minutes-llm',
         turn,
       };
-      const answer = await client.call(instance.callerAddress, program, request);
-      expect(answer).toMatchObject({
+      const response = await client.call(instance.callerAddress, program, request);
+      expect(response).toMatchObject({
         closed: { durable: true, turn },
         error: undefined,
         status: 200,
       });
-      answers.push(answer.text);
+      responseTexts.push(response.text);
       const victim = fleet.instances[(turn + 1) % 3]!;
       await victim.process.kill();
       fleet.restart(victim);
@@ -69,7 +69,7 @@
       service: 'minutes-llm',
       turn: 1,
     });
-    expect(repeated.text).toBe(answers[0]);
+    expect(repeated.text).toBe(responseTexts[0]);
     const state = await client.describeProgram(fleet.instances[0]!.callerAddress, program);
     expect(state.body).toMatchObject({ turn: 6 });
   });
--- a/packages/stand-ins/tests/plannedStop.process.test.ts
+++ b/packages/stand-ins/tests/plannedStop.process.test.ts
@@ -56,7 +56,7 @@
 
   const nonDurableCalls: string[] = [];
 
-  it('of each instance in turn interrupts no answer, refuses no call and loses no history', async () => {
+  it('of each instance in turn interrupts no response, refuses no call and loses no history', async () => {
     const balancer = new LoadBalancer(fleet.instances);
     await balancer.start();
     const load = new SteadyLoad({
@@ -90,15 +90,18 @@
     await checkHistories(load);
   });
 
-  it('reports every turn answered during a handover of shards as durable', () => {
+  it('reports every turn that completes during a handover of shards as durable', () => {
     expect(nonDurableCalls).toEqual([]);
   });
 
   async function checkHistories(load: SteadyLoad): Promise<void> {
-    for (const { answers, program } of load.finished) {
+    for (const { responseTexts, program } of load.finished) {
       const address = fleet.instances[0]!.callerAddress;
       const state = await client.describeProgram(address, program);
-      expect(state.body).toMatchObject({ durableTurn: answers.length, turn: answers.length });
+      expect(state.body).toMatchObject({
+        durableTurn: responseTexts.length,
+        turn: responseTexts.length,
+      });
     }
   }
 
--- a/packages/stand-ins/tests/portReservations.test.ts
+++ b/packages/stand-ins/tests/portReservations.test.ts
@@ -4,26 +4,26 @@
 import { PortReservations } from '../src/launch/portReservations.js';
 
 describe(PortReservations, () => {
-  const launchers = [new PortReservations(), new PortReservations()];
+  const reservers = [new PortReservations(), new PortReservations()];
 
   afterEach(() => {
-    launchers.forEach(launcher => {
-      launcher.release();
+    reservers.forEach(reserver => {
+      reserver.release();
     });
   });
 
-  it('never reserves a port twice, also across several reservers', async () => {
+  it('never reserves a port twice, even with several reservers', async () => {
     const ports: number[] = [];
     for (let round = 0; round < 10; round++) {
-      for (const launcher of launchers) {
-        ports.push(await launcher.reserve());
+      for (const reserver of reservers) {
+        ports.push(await reserver.reserve());
       }
     }
     expect(new Set(ports).size).toBe(ports.length);
   });
 
   it('reserves ports on which a process can listen', async () => {
-    const port = await launchers[0]!.reserve();
+    const port = await reservers[0]!.reserve();
     const server = createServer();
     await new Promise<void>((resolve, reject) => {
       server.once('error', reject);
@@ -33,6 +33,6 @@
   });
 
   it('reserves ports below those that the kernel uses for outgoing connections', async () => {
-    expect(await launchers[0]!.reserve()).toBeLessThan(32_768);
+    expect(await reservers[0]!.reserve()).toBeLessThan(32_768);
   });
 });
--- a/packages/stand-ins/tests/sideEffects.process.test.ts
+++ b/packages/stand-ins/tests/sideEffects.process.test.ts
@@ -1,7 +1,7 @@
 import { hashKey } from '@zincring/core';
 import { afterAll, beforeAll, describe, expect, it } from 'vitest';
 
-import type { CallAnswer } from '../src/launch/callerClient.js';
+import type { CallResponse } from '../src/launch/callerClient.js';
 import type { FleetInstance } from '../src/launch/fleet.js';
 import type { Execution } from '../src/service/plainServiceServer.js';
 
@@ -85,22 +85,22 @@
     victim.process.signal('SIGCONT');
   }
 
-  /** Resends a call until it is answered or its outcome is reported as unknown. */
+  /** Resends a call until its response is complete or reports its outcome as unknown. */
   async function sendUntilOutcomeKnown(
     entry: FleetInstance,
     program: string,
     call: string,
-    answers: CallAnswer[],
+    responses: CallResponse[],
   ): Promise<void> {
     await waitUntil(async () => {
-      const answer = await client.call(entry.callerAddress, program, {
+      const response = await client.call(entry.callerAddress, program, {
         call,
         input: 'work order',
         service: 'ticket-app',
         turn: 1,
       });
-      answers.push(answer);
-      return answer.closed !== undefined || answer.error?.['kind'] === 'call-outcome-unknown';
+      responses.push(response);
+      return response.closed !== undefined || response.error?.['kind'] === 'call-outcome-unknown';
     }, 60_000);
   }
 
@@ -112,18 +112,18 @@
       const call = `${fault}-${String(afterMilliseconds)}`;
       // The home of a program may be any instance: the fault hits both that are not the entry.
       const programs = [await open(entry!), await open(entry!), await open(entry!)];
-      const answers = programs.map((): CallAnswer[] => []);
+      const responses = programs.map((): CallResponse[] => []);
       const sent = programs.map(async (program, index) =>
-        sendUntilOutcomeKnown(entry!, program, `${call}-${String(index)}`, answers[index]!),
+        sendUntilOutcomeKnown(entry!, program, `${call}-${String(index)}`, responses[index]!),
       );
       await pause(afterMilliseconds);
       const victims = fleet.instances.slice(1);
       await Promise.all(victims.map(async victim => injectFault(victim, fault)));
       await Promise.all(sent);
-      for (const [index, received] of answers.entries()) {
+      for (const [index, received] of responses.entries()) {
         const executions = await executionsOf(`${call}-${String(index)}`);
         expect(executions).toBeLessThanOrEqual(1);
-        if (received.some(answer => answer.closed !== undefined)) {
+        if (received.some(response => response.closed !== undefined)) {
           expect(executions).toBe(1);
         }
       }
--- a/packages/stand-ins/tests/upstreams.process.test.ts
+++ b/packages/stand-ins/tests/upstreams.process.test.ts
@@ -54,14 +54,14 @@
   }
 
   async function ask(instance: number, program: string, turn: number): Promise<void> {
-    const answer = await client.call(fleet.instances[instance]!.callerAddress, program, {
+    const response = await client.call(fleet.instances[instance]!.callerAddress, program, {
       call: `call-${turn}`,
       input: `question ${turn} of ${program}`,
       maxTokens: 4,
       service: 'minutes-llm',
       turn,
     });
-    expect(answer.closed).toMatchObject({ turn });
+    expect(response.closed).toMatchObject({ turn });
   }
 
   it('release the cache of an ended program, even if release requests are lost', async () => {
@@ -87,8 +87,8 @@
       fleet.restart(instance);
       await fleet.waitUntilReady();
     }
-    const answer = await client.endProgram(fleet.instances[2]!.callerAddress, ended);
-    expect(answer.status).toBe(200);
+    const response = await client.endProgram(fleet.instances[2]!.callerAddress, ended);
+    expect(response.status).toBe(200);
     await waitUntil(async () => !(await listHeldPrograms()).includes(ended));
     expect(await listHeldPrograms()).toContain(alive);
   });
@@ -101,14 +101,14 @@
     const kinds: unknown[] = [];
     for (let resend = 0; resend < 6; resend++) {
       const program = await open(resend % 3);
-      const answer = await client.call(fleet.instances[resend % 3]!.callerAddress, program, {
+      const response = await client.call(fleet.instances[resend % 3]!.callerAddress, program, {
         call: `poison-${resend}`,
         input: CRASH_MARKER,
         maxTokens: 4,
         service: 'minutes-llm',
         turn: 1,
       });
-      kinds.push(answer.error?.['kind']);
+      kinds.push(response.error?.['kind']);
     }
     expect(kinds.at(-1)).toBe('poison-request');
     expect(crashCount).toBe(2);
